--- a/src/agent/mod.rs
+++ b/src/agent/mod.rs
@@ -297,7 +297,7 @@
         self.node.take_header(now, &frame.from, &frame.header);
         let fleet = &self.node.fleet;
         self.member
-            .heard_clock(now, fleet, &frame.from, frame.header.wall_ms);
+            .observe_clock(now, fleet, &frame.from, frame.header.wall_ms);
         self.member.observe(now, fleet, &frame.header.loads);
         for message in frame.messages {
             self.on_message(now, &frame.from, message);
@@ -330,12 +330,12 @@
     fn on_watch(&mut self, now: Moment, reply: WatchReply) {
         match reply {
             Ok(StoreReply::Entries { revision, entries }) => {
-                self.member.ownership.synced(now);
+                self.member.ownership.on_store_synced(now);
                 let news = self.node.take_entries(revision, &entries);
                 self.on_news(now, news);
             }
             _ => {
-                self.member.ownership.store_trouble(now);
+                self.member.ownership.on_store_failure(now);
                 self.node.dial_seeds(&self.settings.process.seeds);
             }
         }
--- a/src/agent/rows.rs
+++ b/src/agent/rows.rs
@@ -5,7 +5,7 @@
 
 use crate::agent::Core;
 use crate::id::SubmissionId;
-use crate::owner::entry::{Entry, Step, TaskState};
+use crate::owner::submission::{Step, SubmissionRecord, TaskState};
 use crate::time::Moment;
 
 /// Most rows that one process sends for a table.
@@ -28,8 +28,8 @@
         serde_json::to_vec(&rows).unwrap_or_default().into()
     }
 
-    fn entries(&self, about: Option<SubmissionId>) -> impl Iterator<Item = &Entry> {
-        let entries = self.member.owner.entries().values();
+    fn entries(&self, about: Option<SubmissionId>) -> impl Iterator<Item = &SubmissionRecord> {
+        let entries = self.member.owner.submissions().values();
         let wanted = entries.filter(move |entry| about.is_none_or(|id| entry.submission.id == id));
         wanted.take(MOST_ROWS)
     }
@@ -37,7 +37,7 @@
     fn submission_rows(&self, now: Moment, about: Option<SubmissionId>, jobs: bool) -> Vec<Value> {
         let entries = self.entries(about);
         let entries = entries.filter(|entry| entry.submission.is_job == jobs);
-        let row = |entry: &Entry| {
+        let row = |entry: &SubmissionRecord| {
             let submission = &entry.submission;
             let answer = entry.answer();
             json!({
@@ -46,7 +46,7 @@
                 "kind": submission.kind,
                 "team": submission.team,
                 "priority": submission.priority,
-                "state": entry.word(),
+                "state": entry.state_name(),
                 "effect": answer.map(|answer| answer.effect),
                 "tasks": entry.open_tasks().len(),
                 "owner": self.node.me.name,
@@ -65,13 +65,13 @@
         rows.take(MOST_ROWS).collect()
     }
 
-    fn task_row(&self, entry: &Entry, index: u32, state: &TaskState) -> Value {
+    fn task_row(&self, entry: &SubmissionRecord, index: u32, state: &TaskState) -> Value {
         json!({
             "id": entry.submission.id.to_string(),
             "index": index,
             "service": entry.submission.service,
             "kind": entry.submission.kind,
-            "state": state.word(),
+            "state": state.state_name(),
             "target": state.gate().map(|gate| gate.name.clone()),
             "owner": self.node.me.name,
         })
@@ -102,8 +102,11 @@
 
     fn target_row(&self) -> Value {
         let placer = self.member.owner.placer();
-        let ejected: Vec<_> = placer.ejected().map(|gate| gate.name.clone()).collect();
-        let sample = placer.known(&self.node.me).map(|known| &known.sample);
+        let ejected: Vec<_> = placer
+            .ejected_gates()
+            .map(|gate| gate.name.clone())
+            .collect();
+        let sample = placer.load_of(&self.node.me).map(|known| &known.sample);
         let config = self.node.fleet.config();
         let name = self.node.me.name.to_string();
         json!({
@@ -134,7 +137,7 @@
 
     fn member_row(&self, now: Moment) -> Value {
         let counts = self.node.tally.read();
-        let leased_us = self.member.ownership.leased_until_us();
+        let leased_us = self.member.ownership.lease_until_us();
         json!({
             "name": self.node.me.name,
             "run": format!("{:08x}", self.node.me.run as u32),
@@ -143,7 +146,7 @@
             "failure_domain": self.settings.process.failure_domain,
             "config": self.node.fleet.config_revision(),
             "table": self.node.fleet.table().revision,
-            "ranges": self.member.owner.held().len(),
+            "ranges": self.member.owner.held_ranges().len(),
             "lease_left_ms": now.left(leased_us).as_millis() as u64,
             "stopping": self.member.is_stopping(),
             "work_messages": counts.work,
@@ -153,14 +156,14 @@
     }
 
     fn range_rows(&self) -> Vec<Value> {
-        let mut held: Vec<_> = self.member.owner.held().iter().collect();
+        let mut held: Vec<_> = self.member.owner.held_ranges().iter().collect();
         held.sort_by_key(|(range, _)| **range);
-        let row = |(range, held): &(&crate::id::RangeId, &crate::owner::ranges::Held)| {
+        let row = |(range, held): &(&crate::id::RangeId, &crate::owner::ranges::HeldRange)| {
             json!({
                 "range": range.0,
                 "owner": self.node.me.name,
                 "epoch": held.epoch.0,
-                "state": held.word(),
+                "state": held.state_name(),
             })
         };
         held.iter().map(row).collect()
--- a/src/bench/slope_fleet.rs
+++ b/src/bench/slope_fleet.rs
@@ -157,7 +157,7 @@
         let mut owned = fleet.clone();
         owned.take_table(own);
         let mut owner = Owner::new(me.clone(), "a", fleet.config().clone(), 1);
-        owner.leased_until(u64::MAX);
+        owner.set_lease_until(u64::MAX);
         owner.reconcile(moment(), &owned, Some(&holder));
         let settings = GateSettings {
             me,
@@ -203,7 +203,7 @@
             };
             let outcome = TaskOutcome::Done(Bytes::copy_from_slice(&result()));
             self.owner
-                .finished(moment(), &self.fleet, &to, start.task, outcome, 1_000);
+                .on_finished(moment(), &self.fleet, &to, start.task, outcome, 1_000);
         }
     }
 
--- a/src/bench/slopes.rs
+++ b/src/bench/slopes.rs
@@ -21,7 +21,7 @@
 use crate::load::LoadSample;
 use crate::message::{Answer, Ask, Frame, Header, Message, Submission, TaskOutcome};
 use crate::ownership::Plan;
-use crate::placement::{Placer, Want};
+use crate::placement::{PlacementRequest, Placer};
 use crate::time::{Moment, Timer};
 
 /// One measured series and its line.
@@ -291,8 +291,8 @@
         let me = MemberId::new("owner", 1);
         let mut placer = Placer::new(me, "a", fleet.fleet.config().clone(), 1);
         let samples: Vec<LoadSample> = (0..count).map(slope_fleet::sample).collect();
-        placer.observe(Moment::default(), &samples);
-        let want = Want {
+        placer.merge_samples(Moment::default(), &samples);
+        let want = PlacementRequest {
             service: "s",
             accelerators: 0,
             urgent: true,
@@ -328,8 +328,8 @@
             ranges,
             members: fleet.fleet.members(),
             max_owners: 128,
-            handed: &handed,
-            may_take_over: true,
+            handed_over: &handed,
+            can_take_over: true,
             self_placement: false,
             departure_ms: 1,
         };
--- a/src/entry/mod.rs
+++ b/src/entry/mod.rs
@@ -434,11 +434,11 @@
     fn on_message(&mut self, now: Moment, from: &MemberId, message: Message) {
         match message {
             Message::Answer { id, about, answer } => {
-                let actions = self.router.answered(id, about, &answer);
+                let actions = self.router.on_answer(id, about, &answer);
                 self.apply(actions);
             }
             Message::NotOwner { id, untouched } => {
-                self.router.not_owner(now, from, id, untouched);
+                self.router.on_not_owner(now, from, id, untouched);
             }
             Message::SnapshotRequest => {
                 let snapshot = Box::new(self.node.fleet.snapshot());
@@ -456,12 +456,12 @@
     fn on_watch(&mut self, now: Moment, reply: WatchReply) {
         match reply {
             Ok(StoreReply::Entries { revision, entries }) => {
-                self.router.store_down(false);
+                self.router.set_store_down(false);
                 let news = self.node.take_entries(revision, &entries);
                 self.on_news(now, news);
             }
             _ => {
-                self.router.store_down(true);
+                self.router.set_store_down(true);
                 self.node.dial_seeds(&self.settings.process.seeds);
             }
         }
--- a/src/member.rs
+++ b/src/member.rs
@@ -1,7 +1,7 @@
-//! What an agent decides, without its I/O: gate, owner and ownership together.
+//! The I/O-free state machine of an agent: its gate, owner and ownership.
 //!
-//! It is told of messages, news, ends of runs and time, and collects what the
-//! process around it has to do. Tests drive it without sockets or clocks.
+//! Its inputs are messages, fleet updates, run results and time; its outputs are the
+//! actions that the surrounding process must carry out.
 
 use std::time::Duration;
 
@@ -16,52 +16,52 @@
 use crate::store::{StoreError, StoreReply, StoreRequest};
 use crate::time::{Moment, micros};
 
-/// Time that an idle member stays, to refuse what was already on its way.
-const LINGER: Duration = Duration::from_millis(1_500);
+/// Shortest duration of a stop, in which the member still refuses messages in flight.
+const MIN_STOP_DURATION: Duration = Duration::from_millis(1_500);
 
-/// What a member asks of the process around it.
+/// An effect that the surrounding process must carry out.
 #[derive(Clone, Debug)]
 pub enum MemberAction {
     /// Send a message.
     Send {
-        /// To whom.
+        /// Recipient.
         to: MemberId,
-        /// What.
+        /// The message.
         message: Message,
     },
     /// Run a task on the target.
     Run {
         /// The task.
         task: TaskId,
-        /// What the target gets.
+        /// Request body for the target.
         payload: bytes::Bytes,
         /// Time left until its deadline, in milliseconds.
         budget_ms: u64,
     },
-    /// Stop a task that runs.
+    /// Stop a running task.
     StopRun {
         /// The task.
         task: TaskId,
     },
-    /// Make a call to the store.
+    /// Call the store.
     Store {
-        /// Names it.
+        /// Kind of the call.
         op: StoreOp,
-        /// The call.
+        /// The request.
         request: StoreRequest,
     },
-    /// The table as it is in the store now.
+    /// Apply the current table of the store.
     Table(Table),
-    /// A range changed; for the log.
+    /// Log a change of a range's state.
     Range {
         /// The range.
         range: RangeId,
-        /// What happened to it.
+        /// Name of the change.
         event: &'static str,
     },
-    /// It has left the fleet; the process may go.
+    /// The member has left the fleet; the process may exit.
     Left {
-        /// Whether it left because the time for its stop ran out.
+        /// Whether the stop timed out.
         by_limit: bool,
     },
 }
@@ -72,24 +72,24 @@
     until_us: u64,
 }
 
-/// An agent's decisions.
+/// State of an agent.
 #[derive(Debug)]
 pub struct Member {
     /// The gate of its target.
     pub gate: Gate,
     /// The owner of its ranges.
     pub owner: Owner,
-    /// Its lease and the table.
+    /// Its lease and table updates.
     pub ownership: Ownership,
     clocks: Clocks,
-    me: MemberId,
+    id: MemberId,
     service: String,
     stopping: Option<Stopping>,
     actions: Vec<MemberAction>,
 }
 
 impl Member {
-    /// The member that `record` describes.
+    /// Creates the member that `record` describes.
     pub fn new(record: MemberRecord, fleet: &Fleet, seed: u64) -> Member {
         let gate = GateSettings {
             me: record.id.clone(),
@@ -98,12 +98,12 @@
             failure_domain: record.failure_domain.clone(),
         };
         let config = fleet.config().clone();
-        let me = record.id.clone();
+        let id = record.id.clone();
         Member {
             gate: Gate::new(gate, &config),
-            owner: Owner::new(me.clone(), &record.failure_domain, config, seed),
+            owner: Owner::new(id.clone(), &record.failure_domain, config, seed),
             clocks: Clocks::default(),
-            me,
+            id,
             service: record.service.clone(),
             ownership: Ownership::new(record),
             stopping: None,
@@ -111,7 +111,7 @@
         }
     }
 
-    /// Takes what it asks for.
+    /// Removes and returns the pending actions.
     pub fn take_actions(&mut self) -> Vec<MemberAction> {
         std::mem::take(&mut self.actions)
     }
@@ -121,12 +121,12 @@
         self.stopping.is_some()
     }
 
-    /// A message came.
+    /// Handles a message.
     pub fn on_message(&mut self, now: Moment, fleet: &Fleet, from: &MemberId, message: Message) {
         match message {
             Message::Start(start) => {
                 let actions = self.gate.start(now, from, *start);
-                self.push_gate(actions);
+                self.push_gate_actions(actions);
             }
             Message::Inquire {
                 task,
@@ -135,19 +135,19 @@
                 attempt,
             } => {
                 let actions = self.gate.inquire(now, from, task, range, epoch, attempt);
-                self.push_gate(actions);
+                self.push_gate_actions(actions);
             }
             Message::Stop { task } => {
                 let actions = self.gate.stop(task);
-                self.push_gate(actions);
+                self.push_gate_actions(actions);
             }
             Message::Recover { range, epoch } => {
                 let actions = self.gate.recover(from, range, epoch);
-                self.push_gate(actions);
+                self.push_gate_actions(actions);
             }
-            // The next tick writes all that were taken into one table.
+            // The next tick writes all confirmed handovers in one table.
             Message::HandoverTaken { range, epoch } => {
-                self.ownership.handover_taken(from, range, epoch);
+                self.ownership.on_handover_taken(from, range, epoch);
             }
             message => self.on_owner_message(now, fleet, from, message),
         }
@@ -163,64 +163,64 @@
                 task,
                 attempt,
                 reason,
-            } => owner.refused(now, fleet, from, task, attempt, reason),
+            } => owner.on_refused(now, fleet, from, task, attempt, reason),
             Message::Running { task } => {
-                owner.running(now, from, task);
+                owner.on_running(now, from, task);
                 Vec::new()
             }
             Message::Finished {
                 task,
                 outcome,
                 run_us,
-            } => owner.finished(now, fleet, from, task, outcome, run_us),
+            } => owner.on_finished(now, fleet, from, task, outcome, run_us),
             Message::Recovered {
                 range,
                 epoch,
                 tasks,
-            } => owner.recovered(now, from, range, epoch, tasks),
-            Message::Handover(handover) => owner.take_handover(from, *handover),
+            } => owner.on_recovered(now, from, range, epoch, tasks),
+            Message::Handover(handover) => owner.on_handover(from, *handover),
             _ => Vec::new(),
         };
-        self.push_owner(actions);
+        self.push_owner_actions(actions);
     }
 
-    /// A frame came that was sent at `wall_ms` on its sender's clock; while this
-    /// process's clock is off, it takes no new ids.
-    pub fn heard_clock(&mut self, now: Moment, fleet: &Fleet, from: &MemberId, wall_ms: u64) {
+    /// Compares clocks with a frame sent at `wall_ms` on the sender's clock; while the
+    /// local clock is skewed, no new ids are admitted.
+    pub fn observe_clock(&mut self, now: Moment, fleet: &Fleet, from: &MemberId, wall_ms: u64) {
         if wall_ms == 0 {
             return;
         }
         self.clocks.heard(now, from, wall_ms);
-        let off = self.clocks.is_off(fleet.config().ownership.skew_ms);
-        self.owner.clock_off(off);
+        let skewed = self.clocks.is_off(fleet.config().ownership.skew_ms);
+        self.owner.set_clock_skewed(skewed);
     }
 
-    /// Load samples came.
+    /// Merges load samples from a peer.
     pub fn observe(&mut self, now: Moment, fleet: &Fleet, samples: &[LoadSample]) {
         let actions = self.owner.observe(now, fleet, samples);
-        self.push_owner(actions);
+        self.push_owner_actions(actions);
     }
 
-    /// A member can be reached again.
+    /// Handles a new link to a member.
     pub fn link_up(&mut self, now: Moment, member: &MemberId) {
         let actions = self.owner.link_up(now, member);
-        self.push_owner(actions);
+        self.push_owner_actions(actions);
     }
 
-    /// A member's process has ended.
+    /// Handles the end of a member's process.
     pub fn member_ended(&mut self, now: Moment, fleet: &Fleet, member: &MemberId) {
         self.clocks.forget(member);
-        let actions = self.owner.gate_gone(now, fleet, member);
-        self.push_owner(actions);
+        let actions = self.owner.on_gate_gone(now, fleet, member);
+        self.push_owner_actions(actions);
     }
 
-    /// A run on the target ended.
+    /// Handles the result of a run on the target.
     pub fn run_ended(&mut self, now: Moment, task: TaskId, result: RunResult) {
         let actions = self.gate.ended(now, task, result);
-        self.push_gate(actions);
+        self.push_gate_actions(actions);
     }
 
-    /// The store answered a call, or did not.
+    /// Handles the reply to a store call.
     pub fn on_store(
         &mut self,
         now: Moment,
@@ -229,11 +229,11 @@
         reply: Result<StoreReply, StoreError>,
     ) {
         let actions = self.ownership.on_store(now, fleet, op, reply);
-        self.push_ownership(now, actions);
+        self.push_ownership_actions(now, actions);
         self.reconcile(now, fleet);
     }
 
-    /// Puts what is new in force.
+    /// Applies a fleet update.
     pub fn on_news(&mut self, now: Moment, fleet: &Fleet, news: News) {
         if news.config {
             self.owner.configure(fleet.config().clone());
@@ -257,30 +257,30 @@
     fn reconcile(&mut self, now: Moment, fleet: &Fleet) {
         let holder = self.ownership.holder();
         let actions = self.owner.reconcile(now, fleet, holder.as_ref());
-        self.push_owner(actions);
+        self.push_owner_actions(actions);
     }
 
-    /// Time has passed.
+    /// Runs the periodic work.
     pub fn tick(&mut self, now: Moment, fleet: &Fleet) {
         let actions = self.gate.tick(now);
-        self.push_gate(actions);
+        self.push_gate_actions(actions);
         let actions = self.owner.tick(now, fleet);
-        self.push_owner(actions);
+        self.push_owner_actions(actions);
         self.reconcile(now, fleet);
         self.tick_ownership(now, fleet);
         self.advance_stop(now, fleet);
     }
 
-    /// Without a configuration from the store there is nothing to own.
+    /// Without a configuration from the store, there are no ranges to own.
     fn tick_ownership(&mut self, now: Moment, fleet: &Fleet) {
         if fleet.config_revision() == 0 && self.stopping.is_none() {
             return;
         }
         let actions = self.ownership.tick(now, fleet);
-        self.push_ownership(now, actions);
+        self.push_ownership_actions(now, actions);
     }
 
-    /// Announces that this member leaves, within `limit`.
+    /// Starts to leave the fleet; the stop times out after `limit`.
     pub fn begin_stop(&mut self, now: Moment, fleet: &Fleet, limit: Duration) {
         if self.stopping.is_some() {
             return;
@@ -294,7 +294,7 @@
         self.tick_ownership(now, fleet);
     }
 
-    /// Lets the lease go once nothing needs this member any more.
+    /// Releases the lease once no range and no task depends on this member.
     fn advance_stop(&mut self, now: Moment, fleet: &Fleet) {
         let Some(stopping) = &self.stopping else {
             return;
@@ -303,35 +303,35 @@
             self.actions.push(MemberAction::Left { by_limit: true });
             return;
         }
-        let lapsed = now.mono_us >= self.ownership.leased_until_us();
-        let serves = self.ownership.owns_rows(fleet) && !lapsed;
-        let busy = serves || !self.gate.idle() || !self.owner.idle();
-        if busy || now.mono_us < stopping.since_us + micros(LINGER) {
+        let lease_expired = now.mono_us >= self.ownership.lease_until_us();
+        let owns_ranges = self.ownership.owns_rows(fleet) && !lease_expired;
+        let busy = owns_ranges || !self.gate.idle() || !self.owner.is_idle();
+        if busy || now.mono_us < stopping.since_us + micros(MIN_STOP_DURATION) {
             return;
         }
         self.ownership.release();
-        if lapsed {
+        if lease_expired {
             self.actions.push(MemberAction::Left { by_limit: false });
         }
     }
 
-    /// Samples for the next frame to `peer`.
+    /// Load samples to attach to the next frame to `peer`.
     pub fn samples(&mut self, peer: &MemberId) -> Vec<LoadSample> {
         self.owner.samples(peer)
     }
 
-    /// Adds the own load to what is told to peers.
+    /// Adds a sample of the local load to those sent to peers.
     pub fn sample_own_load(&mut self, now: Moment) {
         let sample = self.gate.sample();
-        self.owner.note_loads(now, &[sample]);
+        self.owner.record_loads(now, &[sample]);
     }
 
-    /// This member.
-    pub fn me(&self) -> &MemberId {
-        &self.me
+    /// Id of this member.
+    pub fn id(&self) -> &MemberId {
+        &self.id
     }
 
-    fn push_gate(&mut self, actions: Vec<GateAction>) {
+    fn push_gate_actions(&mut self, actions: Vec<GateAction>) {
         let actions = actions.into_iter().map(|action| match action {
             GateAction::Send { to, message } => MemberAction::Send { to, message },
             GateAction::StopRun { task } => MemberAction::StopRun { task },
@@ -348,7 +348,7 @@
         self.actions.extend(actions);
     }
 
-    fn push_owner(&mut self, actions: Vec<OwnerAction>) {
+    fn push_owner_actions(&mut self, actions: Vec<OwnerAction>) {
         let actions = actions.into_iter().map(|action| match action {
             OwnerAction::Send { to, message } => MemberAction::Send { to, message },
             OwnerAction::Range { range, event } => MemberAction::Range { range, event },
@@ -356,7 +356,7 @@
         self.actions.extend(actions);
     }
 
-    fn push_ownership(&mut self, now: Moment, actions: Vec<OwnershipAction>) {
+    fn push_ownership_actions(&mut self, now: Moment, actions: Vec<OwnershipAction>) {
         for action in actions {
             match action {
                 OwnershipAction::Store { op, request } => {
@@ -364,10 +364,10 @@
                 }
                 OwnershipAction::Freeze { range, to } => {
                     let actions = self.owner.freeze(now, range, &to);
-                    self.push_owner(actions);
+                    self.push_owner_actions(actions);
                 }
                 OwnershipAction::Table(table) => self.actions.push(MemberAction::Table(table)),
-                OwnershipAction::LeasedUntil(until_us) => self.owner.leased_until(until_us),
+                OwnershipAction::LeasedUntil(until_us) => self.owner.set_lease_until(until_us),
                 OwnershipAction::Left => self.actions.push(MemberAction::Left { by_limit: false }),
             }
         }
--- a/src/owner/admission.rs
+++ b/src/owner/admission.rs
@@ -1,4 +1,5 @@
-//! Taking submissions in, joining those already known, and refusing.
+//! Admission of submissions: accepts new ones, joins repeated ones and refuses the
+//! rest. Also handles lookups and cancellations.
 
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
@@ -8,38 +9,38 @@
 use crate::fleet::Fleet;
 use crate::id::{MemberId, RangeId, SubmissionId, TaskId};
 use crate::message::{Answer, Ask, Message, RecoveredTask, Submission, TaskOutcome};
-use crate::owner::entry::{Entry, Progress, Step, TaskState};
-use crate::owner::ranges::Held;
+use crate::owner::ranges::HeldRange;
+use crate::owner::submission::{Progress, Step, SubmissionRecord, TaskState};
 use crate::owner::{Owner, OwnerAction, OwnerActions, answer_to, send};
-use crate::placement::Want;
+use crate::placement::PlacementRequest;
 use crate::time::Moment;
 
-/// Shortest time after which a refused caller is told to come back.
-const LEAST_RETRY_AFTER_MS: u64 = 50;
+/// Shortest retry delay that a refusal suggests.
+const MIN_RETRY_AFTER_MS: u64 = 50;
 
-/// How long a refusal at the door is remembered.
-const REFUSAL_KEPT_MS: u64 = 30_000;
+/// How long a refused submission is retained.
+const REFUSAL_RETENTION_MS: u64 = 30_000;
 
-/// A submission that waits for its range.
+/// A submission that waits until its range is active.
 #[derive(Clone, Debug)]
-pub(super) struct Parked {
+pub(super) struct DeferredSubmission {
     from: MemberId,
-    at_us: u64,
+    received_us: u64,
     submission: Submission,
 }
 
-/// Whether an id that the table does not hold may have run before.
-enum Novelty {
-    /// It never started.
+/// Whether an unknown id may have started before.
+enum IdCheck {
+    /// It has never started.
     New,
-    /// It may have started under an owner before.
-    Unknowable,
-    /// It cannot be judged, for this reason.
-    Refused(ResultCode, Effect, &'static str),
+    /// It may have started under a previous owner.
+    MayHaveStarted,
+    /// Its timestamp is outside the accepted window.
+    Rejected(ResultCode, Effect, &'static str),
 }
 
 impl Owner {
-    /// An entry brings a submission.
+    /// Handles a submission from an entry.
     pub fn submit(
         &mut self,
         now: Moment,
@@ -48,83 +49,87 @@
         submission: Submission,
     ) -> OwnerActions {
         let id = submission.id;
-        if self.gains(now, id) {
-            let parked = Parked {
+        if self.is_acquiring(now, id) {
+            let deferred = DeferredSubmission {
                 from: from.clone(),
-                at_us: now.mono_us,
+                received_us: now.mono_us,
                 submission,
             };
             let range = self.range_of(id);
-            self.parked.entry(range).or_default().push(parked);
+            self.deferred.entry(range).or_default().push(deferred);
             return Vec::new();
         }
-        if !self.serves(now, id) {
+        if !self.is_serving(now, id) {
             return vec![self.not_owner(from, id)];
         }
-        match self.entries.get(&id).map(|entry| &entry.progress) {
+        match self.submissions.get(&id).map(|record| &record.progress) {
             Some(Progress::Open { .. }) => self.join(from, &submission),
             Some(Progress::Ended { .. }) => self.join_or_reopen(now, fleet, from, submission),
             Some(Progress::Recovered { .. }) => self.resume(now, fleet, from, submission),
-            None => self.consider(now, fleet, from, submission),
+            None => self.admit_unknown(now, fleet, from, submission),
         }
     }
 
-    /// Whether an id's range is on its way to this owner.
-    fn gains(&self, now: Moment, id: SubmissionId) -> bool {
+    /// Whether the range of `id` is being acquired.
+    fn is_acquiring(&self, now: Moment, id: SubmissionId) -> bool {
         let held = self.ranges.get(&self.range_of(id));
-        self.is_leased(now) && held.is_some_and(Held::is_gaining)
+        self.is_leased(now) && held.is_some_and(HeldRange::is_acquiring)
     }
 
     fn is_leased(&self, now: Moment) -> bool {
-        now.mono_us < self.lease_until_us && !self.clock_off
+        now.mono_us < self.lease_until_us && !self.clock_skewed
     }
 
-    /// Takes in what came before its range was active.
-    pub(super) fn submit_parked(&mut self, now: Moment, fleet: &Fleet) -> OwnerActions {
+    /// Submits what was deferred for ranges that are no longer being acquired.
+    pub(super) fn submit_deferred(&mut self, now: Moment, fleet: &Fleet) -> OwnerActions {
         let ranges = &self.ranges;
-        let gaining = |range: &RangeId| ranges.get(range).is_some_and(Held::is_gaining);
-        let (wait, ready): (HashMap<_, _>, HashMap<_, _>) =
-            self.parked.drain().partition(|(range, _)| gaining(range));
-        self.parked = wait;
+        let acquiring = |range: &RangeId| ranges.get(range).is_some_and(HeldRange::is_acquiring);
+        let (wait, ready): (HashMap<_, _>, HashMap<_, _>) = self
+            .deferred
+            .drain()
+            .partition(|(range, _)| acquiring(range));
+        self.deferred = wait;
         let mut actions = Vec::new();
-        for parked in ready.into_values().flatten() {
-            let waited_ms = now.mono_us.saturating_sub(parked.at_us) / 1_000;
-            let mut submission = parked.submission;
+        for deferred in ready.into_values().flatten() {
+            let waited_ms = now.mono_us.saturating_sub(deferred.received_us) / 1_000;
+            let mut submission = deferred.submission;
             submission.budget_ms = submission.budget_ms.saturating_sub(waited_ms);
-            actions.extend(self.submit(now, fleet, &parked.from, submission));
+            actions.extend(self.submit(now, fleet, &deferred.from, submission));
         }
         actions
     }
 
-    /// Says that this owner does not serve an id now. It has done nothing with
-    /// it if it never served the range, or still has the range's whole table.
+    /// Builds the message that this owner does not serve `id`. It is marked untouched
+    /// if the id was certainly not accepted here: the range was never served, or is
+    /// held and has no record of the id.
     fn not_owner(&self, from: &MemberId, id: SubmissionId) -> OwnerAction {
         let range = self.range_of(id);
-        let whole = self.ranges.contains_key(&range) && !self.entries.contains_key(&id);
-        let untouched = whole || !self.served.contains(&range);
+        let has_full_range =
+            self.ranges.contains_key(&range) && !self.submissions.contains_key(&id);
+        let untouched = has_full_range || !self.served.contains(&range);
         send(from, Message::NotOwner { id, untouched })
     }
 
-    fn serves(&self, now: Moment, id: SubmissionId) -> bool {
+    fn is_serving(&self, now: Moment, id: SubmissionId) -> bool {
         let held = self.ranges.get(&self.range_of(id));
-        self.is_leased(now) && held.is_some_and(Held::is_active)
+        self.is_leased(now) && held.is_some_and(HeldRange::is_active)
     }
 
     fn join(&mut self, from: &MemberId, submission: &Submission) -> OwnerActions {
         let id = submission.id;
-        let Some(entry) = self.entries.get_mut(&id) else {
+        let Some(record) = self.submissions.get_mut(&id) else {
             return Vec::new();
         };
-        if entry.submission.digest != submission.digest {
-            let text = "this id belongs to another request";
+        if record.submission.digest != submission.digest {
+            let text = "id was already used for another request";
             let answer = Answer::not_run(ResultCode::IdReused, text);
             return vec![answer_to(from, id, Ask::Submit, answer)];
         }
-        match entry.answer().cloned() {
+        match record.answer().cloned() {
             Some(answer) => vec![answer_to(from, id, Ask::Submit, answer)],
             None => {
-                entry.wait(from);
-                entry.calls.push(submission.call);
+                record.add_waiter(from);
+                record.calls.push(submission.call);
                 Vec::new()
             }
         }
@@ -137,25 +142,25 @@
         from: &MemberId,
         submission: Submission,
     ) -> OwnerActions {
-        let Some(entry) = self.entries.get(&submission.id) else {
+        let Some(record) = self.submissions.get(&submission.id) else {
             return Vec::new();
         };
-        let (call, before) = (submission.call, entry.calls.clone());
+        let (call, previous_calls) = (submission.call, record.calls.clone());
         let (Progress::Ended { next_attempt, .. }, true) =
-            (&entry.progress, entry.may_reopen(call))
+            (&record.progress, record.can_reopen(call))
         else {
             return self.join(from, &submission);
         };
         let attempt = *next_attempt;
         let id = submission.id;
         let actions = self.accept(now, fleet, from, submission, attempt);
-        if let Some(entry) = self.entries.get_mut(&id) {
-            entry.calls.extend(before);
+        if let Some(record) = self.submissions.get_mut(&id) {
+            record.calls.extend(previous_calls);
         }
         actions
     }
 
-    fn consider(
+    fn admit_unknown(
         &mut self,
         now: Moment,
         fleet: &Fleet,
@@ -163,38 +168,38 @@
         submission: Submission,
     ) -> OwnerActions {
         let id = submission.id;
-        match self.novelty(now, id) {
-            Novelty::New => self.accept(now, fleet, from, submission, 0),
-            Novelty::Unknowable => {
-                let text = "an owner that is gone may have run it";
+        match self.check_id(now, id) {
+            IdCheck::New => self.accept(now, fleet, from, submission, 0),
+            IdCheck::MayHaveStarted => {
+                let text = "outcome unknown: a previous owner may have run it";
                 let answer = Answer::failure(ResultCode::OutcomeUnknown, Effect::Unknown, text);
                 vec![answer_to(from, id, Ask::Submit, answer)]
             }
-            Novelty::Refused(code, effect, text) => {
+            IdCheck::Rejected(code, effect, text) => {
                 let answer = Answer::failure(code, effect, text);
                 vec![answer_to(from, id, Ask::Submit, answer)]
             }
         }
     }
 
-    fn novelty(&self, now: Moment, id: SubmissionId) -> Novelty {
+    fn check_id(&self, now: Moment, id: SubmissionId) -> IdCheck {
         let Some(held) = self.ranges.get(&self.range_of(id)) else {
-            return Novelty::Unknowable;
+            return IdCheck::MayHaveStarted;
         };
         let ownership = &self.config.ownership;
         let time = id.time_ms();
         if time > now.wall_ms + ownership.skew_ms {
-            let text = "id: its time is ahead of the fleet's clocks";
-            return Novelty::Refused(ResultCode::ClockAhead, Effect::NotRun, text);
+            let text = "id: timestamp is ahead of the fleet's clocks";
+            return IdCheck::Rejected(ResultCode::ClockAhead, Effect::NotRun, text);
         }
         if time + ownership.retention_ms < now.wall_ms {
-            let text = "id: older than kept answers";
-            return Novelty::Refused(ResultCode::IdTooOld, Effect::Unknown, text);
+            let text = "id: timestamp is older than the retention period";
+            return IdCheck::Rejected(ResultCode::IdTooOld, Effect::Unknown, text);
         }
-        if held.proves_new(time) {
-            Novelty::New
+        if held.is_provably_new(time) {
+            IdCheck::New
         } else {
-            Novelty::Unknowable
+            IdCheck::MayHaveStarted
         }
     }
 
@@ -210,8 +215,8 @@
             return self.refuse(now, from, submission, attempt, answer);
         }
         let mut actions = Vec::new();
-        if !self.make_room(now, &submission, &mut actions) {
-            let answer = self.overloaded(&submission);
+        if !self.evict_less_urgent(now, &submission, &mut actions) {
+            let answer = self.overloaded_answer(&submission);
             actions.extend(self.refuse(now, from, submission, attempt, answer));
             return actions;
         }
@@ -221,8 +226,8 @@
         actions
     }
 
-    /// Refuses at the door, and remembers it for a while: a late copy of this
-    /// try must not run after its caller was told that it did not.
+    /// Refuses a submission and retains the refusal, so that a delayed duplicate does
+    /// not run after its caller received "not run".
     fn refuse(
         &mut self,
         now: Moment,
@@ -232,7 +237,7 @@
         answer: Answer,
     ) -> OwnerActions {
         let id = submission.id;
-        let entry = Entry {
+        let record = SubmissionRecord {
             range: self.range_of(id),
             progress: Progress::Ended {
                 answer: answer.clone(),
@@ -248,12 +253,13 @@
                 ..submission
             },
         };
-        self.entries.insert(id, entry);
-        self.expiries.insert((now.wall_ms + REFUSAL_KEPT_MS, id));
+        self.submissions.insert(id, record);
+        self.expiries
+            .insert((now.wall_ms + REFUSAL_RETENTION_MS, id));
         vec![answer_to(from, id, Ask::Submit, answer)]
     }
 
-    /// Makes an entry and queues its tasks that wait.
+    /// Creates an open record and queues its waiting tasks.
     pub(super) fn open(
         &mut self,
         now: Moment,
@@ -264,7 +270,7 @@
         let id = submission.id;
         let deadline_us = now.after(Duration::from_millis(submission.budget_ms));
         let ended = |task: &&TaskState| matches!(task, TaskState::Ended(_));
-        let left = tasks.len() - tasks.iter().filter(ended).count();
+        let unfinished = tasks.len() - tasks.iter().filter(ended).count();
         let waiting = |task: &TaskState| matches!(task, TaskState::Waiting { .. });
         let indexes = (0u32..).zip(&tasks).filter(|(_, task)| waiting(task));
         for (index, _) in indexes {
@@ -274,14 +280,14 @@
             };
             self.backlog
                 .push(&self.config, &submission, deadline_us, task);
-            self.retries.earn(&self.config.policy);
+            self.retries.deposit(&self.config.policy);
         }
         let range = self.range_of(id);
         let call = submission.call;
-        let entry = Entry {
+        let record = SubmissionRecord {
             submission,
             range,
-            progress: Progress::Open { tasks, left },
+            progress: Progress::Open { tasks, unfinished },
             waiters: waiters.to_vec(),
             calls: vec![call],
             deadline_us,
@@ -289,45 +295,50 @@
             steps: Vec::new(),
         };
         self.deadlines.insert((deadline_us, id));
-        self.entries.insert(id, entry);
+        self.submissions.insert(id, record);
     }
 
     fn refusal(&self, fleet: &Fleet, submission: &Submission) -> Option<Answer> {
         let Some(kind) = self.kind(submission) else {
-            let text = "kind: the service has no such kind";
+            let text = "kind: not defined for this service";
             return Some(Answer::not_run(ResultCode::NotFound, text));
         };
-        let want = Want {
+        let request = PlacementRequest {
             service: &submission.service,
             accelerators: kind.accelerators,
             urgent: true,
             avoid: &[],
         };
-        if !self.placer.could_run(fleet, &want) {
-            let text = "no target of the service could ever run this";
+        if !self.placer.can_ever_run(fleet, &request) {
+            let text = "no target of the service meets the requirements";
             return Some(Answer::not_run(ResultCode::CannotRun, text));
         }
-        if self.over_quota(submission) {
-            let text = "the team's part of the queue is full";
+        if self.is_over_quota(submission) {
+            let text = "the team's share of the queue is full";
             let answer = Answer::not_run(ResultCode::QuotaExceeded, text);
             return Some(answer.retry_after(self.backlog_ms(fleet, submission)));
         }
-        self.too_late(fleet, submission, kind)
+        self.deadline_refusal(fleet, submission, kind)
     }
 
-    fn too_late(&self, fleet: &Fleet, submission: &Submission, kind: &Kind) -> Option<Answer> {
+    fn deadline_refusal(
+        &self,
+        fleet: &Fleet,
+        submission: &Submission,
+        kind: &Kind,
+    ) -> Option<Answer> {
         let wait_ms = self.backlog_ms(fleet, submission);
         let run_ms = self.run_times.expect(&submission.service, kind) / 1_000;
         if self.backlog.is_empty() || wait_ms + run_ms <= submission.budget_ms {
             return None;
         }
-        let text = format!("about {wait_ms} ms of work wait before it");
+        let text = format!("deadline too short: estimated queueing time is {wait_ms} ms");
         let answer = Answer::not_run(ResultCode::DeadlineTooShort, &text);
-        Some(answer.retry_after(wait_ms.max(LEAST_RETRY_AFTER_MS)))
+        Some(answer.retry_after(wait_ms.max(MIN_RETRY_AFTER_MS)))
     }
 
-    /// Time that the tasks waiting here before `submission` will take; other
-    /// owners have as much waiting, so this owner gets its part of the slots.
+    /// Estimated time until the tasks queued ahead of `submission` have run. Assumes
+    /// that all owners have equal backlogs and share the slots equally.
     fn backlog_ms(&self, fleet: &Fleet, submission: &Submission) -> u64 {
         let slots: u32 = fleet
             .gates(&submission.service)
@@ -341,19 +352,20 @@
         ahead * owners * mean_us / u64::from(slots.max(1)) / 1_000
     }
 
-    fn over_quota(&self, submission: &Submission) -> bool {
+    fn is_over_quota(&self, submission: &Submission) -> bool {
         let limit = self.config.policy.owner_queue;
         let Some(team) = submission.team.as_deref() else {
             return false;
         };
         let shares: u32 = self.config.teams.iter().map(|team| team.share).sum();
         let share = self.config.team(team).map_or(1, |team| team.share);
-        let part = limit * share as usize / shares.max(share) as usize;
-        self.backlog.len() > limit / 2 && self.backlog.of_team(team) > part
+        let team_limit = limit * share as usize / shares.max(share) as usize;
+        self.backlog.len() > limit / 2 && self.backlog.team_len(team) > team_limit
     }
 
-    /// Makes room by refusing less urgent submissions of which nothing ran.
-    fn make_room(
+    /// Frees queue space by refusing less urgent submissions of which no task was sent.
+    /// Returns whether there is enough space.
+    fn evict_less_urgent(
         &mut self,
         now: Moment,
         submission: &Submission,
@@ -363,29 +375,29 @@
         let needed = submission.tasks.len();
         while self.backlog.len() + needed > limit {
             let victims = self.backlog.less_urgent_than(submission.priority);
-            let victim = victims.into_iter().find(|id| self.nothing_sent(*id));
+            let victim = victims.into_iter().find(|id| self.is_unsent(*id));
             let Some(victim) = victim else {
                 return false;
             };
-            let answer = self.overloaded(submission);
+            let answer = self.overloaded_answer(submission);
             actions.extend(self.end(now, victim, answer));
         }
         true
     }
 
-    fn nothing_sent(&self, id: SubmissionId) -> bool {
-        let entry = self.entries.get(&id);
+    fn is_unsent(&self, id: SubmissionId) -> bool {
+        let record = self.submissions.get(&id);
         let waits = |task: &TaskState| matches!(task, TaskState::Waiting { .. });
-        entry.is_some_and(|entry| entry.open_tasks().iter().all(waits))
+        record.is_some_and(|record| record.open_tasks().iter().all(waits))
     }
 
-    fn overloaded(&self, submission: &Submission) -> Answer {
-        let text = "more urgent work fills the queue";
+    fn overloaded_answer(&self, submission: &Submission) -> Answer {
+        let text = "queue full: work of the same or higher priority has precedence";
         let mean_ms = self.kind(submission).map_or(0, |kind| {
             self.run_times.expect(&submission.service, kind) / 1_000
         });
         let answer = Answer::not_run(ResultCode::Overloaded, text);
-        answer.retry_after(mean_ms.max(LEAST_RETRY_AFTER_MS))
+        answer.retry_after(mean_ms.max(MIN_RETRY_AFTER_MS))
     }
 
     pub(super) fn kind(&self, submission: &Submission) -> Option<&Kind> {
@@ -393,7 +405,7 @@
         service.kind(Some(&submission.kind))
     }
 
-    /// A caller comes back for a submission that an owner before started.
+    /// Reopens a recovered submission that its caller sends again.
     fn resume(
         &mut self,
         now: Moment,
@@ -402,65 +414,74 @@
         submission: Submission,
     ) -> OwnerActions {
         let id = submission.id;
-        let Some(entry) = self.entries.remove(&id) else {
+        let Some(record) = self.submissions.remove(&id) else {
             return Vec::new();
         };
-        let Progress::Recovered { tasks: known } = entry.progress else {
+        let Progress::Recovered { tasks: known } = record.progress else {
             return Vec::new();
         };
-        let rest_is_new = matches!(self.novelty(now, id), Novelty::New);
-        let tasks = recovered_tasks(now, submission.tasks.len(), &known, rest_is_new);
+        let others_are_new = matches!(self.check_id(now, id), IdCheck::New);
+        let tasks = recovered_tasks(now, submission.tasks.len(), &known, others_are_new);
         for gate in tasks.iter().filter_map(TaskState::gate) {
-            self.placer.sent(now, gate);
+            self.placer.record_sent(now, gate);
         }
         self.open(now, std::slice::from_ref(from), submission, tasks);
-        if let Some(entry) = self.entries.get_mut(&id) {
-            entry.note(Step::Inherited);
+        if let Some(record) = self.submissions.get_mut(&id) {
+            record.record_step(Step::Inherited);
         }
         let mut actions = self.settle(now, id);
         actions.extend(self.dispatch(now, fleet));
         actions
     }
 
-    /// An entry asks what is known of a submission.
+    /// Answers a lookup of a submission.
     pub fn lookup(&mut self, now: Moment, from: &MemberId, id: SubmissionId) -> OwnerActions {
-        if !self.serves(now, id) {
+        if !self.is_serving(now, id) {
             return vec![self.not_owner(from, id)];
         }
-        let answer = match self.entries.get(&id) {
-            Some(entry) => match entry.answer() {
+        let answer = match self.submissions.get(&id) {
+            Some(record) => match record.answer() {
                 Some(answer) => answer.clone(),
-                None => accepted(entry),
+                None => accepted_answer(record),
             },
-            None => Answer::failure(ResultCode::NotFound, Effect::Unknown, "no such submission"),
+            None => Answer::failure(
+                ResultCode::NotFound,
+                Effect::Unknown,
+                "submission not found",
+            ),
         };
         vec![answer_to(from, id, Ask::Lookup, answer)]
     }
 
-    /// An entry cancels a submission; saying it again changes nothing.
+    /// Cancels a submission; idempotent.
     pub fn cancel(&mut self, now: Moment, from: &MemberId, id: SubmissionId) -> OwnerActions {
-        if !self.serves(now, id) {
+        if !self.is_serving(now, id) {
             return vec![self.not_owner(from, id)];
         }
-        let ended = self.entries.get(&id).and_then(Entry::answer).cloned();
+        let ended = self
+            .submissions
+            .get(&id)
+            .and_then(SubmissionRecord::answer)
+            .cloned();
         if let Some(answer) = ended {
             return vec![answer_to(from, id, Ask::Cancel, answer)];
         }
-        match self.entries.get_mut(&id) {
-            Some(entry) => {
-                entry.wait(from);
-                let effect = entry.effect();
+        match self.submissions.get_mut(&id) {
+            Some(record) => {
+                record.add_waiter(from);
+                let effect = record.effect();
                 let answer = Answer::failure(ResultCode::Cancelled, effect, "cancelled");
                 self.end(now, id, answer)
             }
-            None => self.cancel_unseen(now, from, id),
+            None => self.cancel_unknown(now, from, id),
         }
     }
 
-    /// Bars an id that may still be on its way.
-    fn cancel_unseen(&mut self, now: Moment, from: &MemberId, id: SubmissionId) -> OwnerActions {
-        let effect = match self.novelty(now, id) {
-            Novelty::New => Effect::NotRun,
+    /// Records a cancellation for an unknown id, so that a submission that arrives
+    /// later does not run.
+    fn cancel_unknown(&mut self, now: Moment, from: &MemberId, id: SubmissionId) -> OwnerActions {
+        let effect = match self.check_id(now, id) {
+            IdCheck::New => Effect::NotRun,
             _ => Effect::Unknown,
         };
         let answer = Answer::failure(ResultCode::Cancelled, effect, "cancelled");
@@ -470,20 +491,20 @@
     }
 }
 
-fn accepted(entry: &Entry) -> Answer {
-    let tasks = entry.open_tasks();
+fn accepted_answer(record: &SubmissionRecord) -> Answer {
+    let tasks = record.open_tasks();
     let ended = tasks
         .iter()
         .filter(|task| matches!(task, TaskState::Ended(_)));
     let text = format!("{} of {} tasks ended", ended.count(), tasks.len());
-    Answer::failure(ResultCode::Accepted, entry.effect(), &text)
+    Answer::failure(ResultCode::Accepted, record.effect(), &text)
 }
 
 fn recovered_tasks(
     now: Moment,
     count: usize,
     known: &BTreeMap<u32, RecoveredTask>,
-    rest_is_new: bool,
+    others_are_new: bool,
 ) -> Vec<TaskState> {
     let state = |index: u32| match known.get(&index) {
         Some(RecoveredTask {
@@ -501,7 +522,7 @@
             inquired_us: 0,
             avoid: Vec::new(),
         },
-        None if rest_is_new => TaskState::new(0),
+        None if others_are_new => TaskState::new(0),
         None => TaskState::Ended(TaskOutcome::Lost),
     };
     (0..count as u32).map(state).collect()
--- a/src/owner/mod.rs
+++ b/src/owner/mod.rs
@@ -1,21 +1,19 @@
-//! The owner of key ranges: decides once for every submission whether it runs.
+//! The owner of key ranges, which admits each submission at most once.
 //!
-//! Each submission id falls into one range, each range has one owner, and the
-//! owner keeps every id it accepted for as long as callers may send it again.
-//! An id that is not kept is taken as new only if this owner must have seen it
-//! had it been accepted: it is above the range's horizon, or recovery proved
-//! that no gate started any of it. So no write to the store is needed for a
-//! task, and no clock decides more than the horizon does.
+//! A submission id maps to one range, and each range has one owner. The owner keeps the
+//! accepted ids for as long as callers may resend them. It admits an unknown id only if
+//! the id is later than the range's horizon, or if recovery proved that no gate started
+//! any task of it. Admission therefore needs no write to the store.
 //!
-//! The parts: [`ranges`] gains, recovers, hands over and loses ranges;
-//! `admission` takes submissions in; `dispatch` places their tasks; `progress`
-//! takes what gates report; `entry` is one submission.
+//! [`ranges`] acquires, recovers, hands over and drops ranges; `admission` accepts or
+//! refuses submissions; `dispatch` queues and places tasks; `progress` handles the
+//! reports of gates; [`submission`] holds the state of one submission.
 
 mod admission;
 mod dispatch;
-pub mod entry;
 mod progress;
 pub mod ranges;
+pub mod submission;
 
 use std::collections::{BTreeSet, HashMap, HashSet};
 use std::sync::Arc;
@@ -33,47 +31,47 @@
 use crate::retry::RetryBudget;
 use crate::run_times::RunTimes;
 use crate::time::Moment;
-use admission::Parked;
+use admission::DeferredSubmission;
 use dispatch::Backlog;
-use entry::Entry;
-use ranges::Held;
+use ranges::HeldRange;
+use submission::SubmissionRecord;
 
-/// What an owner asks of the process around it.
+/// An effect that the surrounding process must carry out.
 #[derive(Clone, Debug)]
 pub enum OwnerAction {
     /// Send a message.
     Send {
-        /// To whom.
+        /// Recipient.
         to: MemberId,
-        /// What.
+        /// The message.
         message: Message,
     },
-    /// A range changed; for the log.
+    /// Log a change of a range's state.
     Range {
         /// The range.
         range: RangeId,
-        /// What happened to it.
+        /// Name of the change.
         event: &'static str,
     },
 }
 
-/// Messages and notes, in order.
+/// Actions in the order in which they must be carried out.
 pub type OwnerActions = Vec<OwnerAction>;
 
-/// The owner part of an agent.
+/// The owner role of an agent.
 #[derive(Debug)]
 pub struct Owner {
-    me: MemberId,
+    id: MemberId,
     config: Arc<Config>,
     lease_until_us: u64,
-    clock_off: bool,
-    ranges: HashMap<RangeId, Held>,
-    /// Ranges that this process has served at some time.
+    clock_skewed: bool,
+    ranges: HashMap<RangeId, HeldRange>,
+    /// Ranges that this process has served at any time.
     served: HashSet<RangeId>,
-    /// Submissions that came while their range was being gained.
-    parked: HashMap<RangeId, Vec<Parked>>,
+    /// Submissions received while their range was being acquired.
+    deferred: HashMap<RangeId, Vec<DeferredSubmission>>,
     handovers: HashMap<RangeId, crate::message::Handover>,
-    entries: HashMap<SubmissionId, Entry>,
+    submissions: HashMap<SubmissionId, SubmissionRecord>,
     deadlines: BTreeSet<(u64, SubmissionId)>,
     expiries: BTreeSet<(u64, SubmissionId)>,
     backlog: Backlog,
@@ -84,21 +82,21 @@
 }
 
 impl Owner {
-    /// An owner of nothing, in the process `me` in `failure_domain`.
-    pub fn new(me: MemberId, failure_domain: &str, config: Arc<Config>, seed: u64) -> Owner {
+    /// Creates an owner without ranges for the process `id` in `failure_domain`.
+    pub fn new(id: MemberId, failure_domain: &str, config: Arc<Config>, seed: u64) -> Owner {
         Owner {
-            me: me.clone(),
+            id: id.clone(),
             lease_until_us: 0,
-            clock_off: false,
+            clock_skewed: false,
             ranges: HashMap::new(),
             served: HashSet::new(),
-            parked: HashMap::new(),
+            deferred: HashMap::new(),
             handovers: HashMap::new(),
-            entries: HashMap::new(),
+            submissions: HashMap::new(),
             deadlines: BTreeSet::new(),
             expiries: BTreeSet::new(),
             backlog: Backlog::default(),
-            placer: Placer::new(me, failure_domain, config.clone(), seed),
+            placer: Placer::new(id, failure_domain, config.clone(), seed),
             retries: RetryBudget::new(&config.policy),
             run_times: RunTimes::default(),
             rng: StdRng::seed_from_u64(seed),
@@ -106,82 +104,83 @@
         }
     }
 
-    /// Puts a configuration in force.
+    /// Applies a configuration.
     pub fn configure(&mut self, config: Arc<Config>) {
         self.placer.configure(config.clone());
         self.config = config;
     }
 
-    /// The lease in the store is good until `until_us` on the own clock.
-    pub fn leased_until(&mut self, until_us: u64) {
+    /// Sets the end of the store lease on the local monotonic clock.
+    pub fn set_lease_until(&mut self, until_us: u64) {
         self.lease_until_us = until_us;
     }
 
-    /// Whether the own wall clock is too far from the peers' to judge ids.
-    pub fn clock_off(&mut self, off: bool) {
-        self.clock_off = off;
+    /// Sets whether the local wall clock differs too much from the peers' clocks. While
+    /// it does, no ids are admitted.
+    pub fn set_clock_skewed(&mut self, skewed: bool) {
+        self.clock_skewed = skewed;
     }
 
-    /// Takes in load samples and sends what can now be placed.
+    /// Merges load samples and dispatches the tasks that can now be placed.
     pub fn observe(&mut self, now: Moment, fleet: &Fleet, samples: &[LoadSample]) -> OwnerActions {
-        self.note_loads(now, samples);
+        self.record_loads(now, samples);
         if self.backlog.is_empty() {
             return Vec::new();
         }
         self.dispatch(now, fleet)
     }
 
-    /// Takes in load samples only.
-    pub fn note_loads(&mut self, now: Moment, samples: &[LoadSample]) {
-        self.placer.observe(now, samples);
+    /// Merges load samples without dispatching.
+    pub fn record_loads(&mut self, now: Moment, samples: &[LoadSample]) {
+        self.placer.merge_samples(now, samples);
     }
 
-    /// Samples for the next frame to `peer`.
+    /// Load samples to attach to the next frame to `peer`.
     pub fn samples(&mut self, peer: &MemberId) -> Vec<LoadSample> {
         self.placer.samples(peer)
     }
 
-    /// What is known of loads and ejections.
+    /// The placer, which holds loads and ejections.
     pub fn placer(&self) -> &Placer {
         &self.placer
     }
 
-    /// The submissions it knows.
-    pub fn entries(&self) -> &HashMap<SubmissionId, Entry> {
-        &self.entries
+    /// All retained submissions by id.
+    pub fn submissions(&self) -> &HashMap<SubmissionId, SubmissionRecord> {
+        &self.submissions
     }
 
-    /// The ranges it holds.
-    pub fn held(&self) -> &HashMap<RangeId, Held> {
+    /// Ranges that are held or being acquired.
+    pub fn held_ranges(&self) -> &HashMap<RangeId, HeldRange> {
         &self.ranges
     }
 
     /// Whether no submission is open.
-    pub fn idle(&self) -> bool {
+    pub fn is_idle(&self) -> bool {
         self.deadlines.is_empty()
     }
 
-    /// Time has passed.
+    /// Runs the periodic work.
     pub fn tick(&mut self, now: Moment, fleet: &Fleet) -> OwnerActions {
         let mut actions = self.advance_ranges(now, fleet);
-        actions.extend(self.submit_parked(now, fleet));
-        actions.extend(self.end_late(now));
-        actions.extend(self.inquire(now, fleet));
-        self.forget_old(now);
-        self.backlog.wake(now);
+        actions.extend(self.submit_deferred(now, fleet));
+        actions.extend(self.expire_overdue(now));
+        actions.extend(self.send_inquiries(now, fleet));
+        self.purge_expired(now);
+        self.backlog.release_delayed(now);
         actions.extend(self.dispatch(now, fleet));
         actions
     }
 
-    fn forget_old(&mut self, now: Moment) {
+    fn purge_expired(&mut self, now: Moment) {
         while let Some((expiry, id)) = self.expiries.first().copied() {
             if expiry > now.wall_ms {
                 break;
             }
             self.expiries.pop_first();
-            let entry = self.entries.get(&id);
-            if entry.is_some_and(|entry| entry.open_tasks().is_empty()) {
-                self.entries.remove(&id);
+            let record = self.submissions.get(&id);
+            if record.is_some_and(|record| record.open_tasks().is_empty()) {
+                self.submissions.remove(&id);
             }
         }
     }
@@ -190,14 +189,14 @@
         id.range(self.config.ownership.ranges)
     }
 
-    fn keep_until(&self, now: Moment, id: SubmissionId) -> u64 {
+    fn retain_until_ms(&self, now: Moment, id: SubmissionId) -> u64 {
         let ownership = &self.config.ownership;
         let resubmitted = id.time_ms() + ownership.retention_ms + ownership.skew_ms;
         let polled = now.wall_ms + ownership.retention_ms / 5;
         resubmitted.max(polled)
     }
 
-    fn inquiry_after(&self) -> Duration {
+    fn inquiry_interval(&self) -> Duration {
         Duration::from_millis(self.config.policy.inquiry_ms)
     }
 }
--- a/src/owner/progress.rs
+++ b/src/owner/progress.rs
@@ -1,4 +1,4 @@
-//! What gates report about tasks, and how submissions end.
+//! Handles the reports of gates about tasks, and ends submissions.
 
 use bytes::Bytes;
 
@@ -6,13 +6,13 @@
 use crate::fleet::Fleet;
 use crate::id::{MemberId, SubmissionId, TaskId};
 use crate::message::{Answer, Ask, Message, Refusal, TaskOutcome};
-use crate::owner::entry::{self, Progress, Step, TaskState};
+use crate::owner::submission::{self, Progress, Step, TaskState};
 use crate::owner::{Owner, OwnerActions, answer_to, send};
 use crate::time::{Moment, micros};
 
 impl Owner {
-    /// A gate did not start a task and never will.
-    pub fn refused(
+    /// Handles a gate's refusal: the gate has not started the attempt and never will.
+    pub fn on_refused(
         &mut self,
         now: Moment,
         fleet: &Fleet,
@@ -22,29 +22,29 @@
         reason: Refusal,
     ) -> OwnerActions {
         if reason == Refusal::StaleEpoch {
-            // No bar: this process, resumed, or the range's next owner sends
-            // the same attempt again under its own epoch.
+            // The attempt is not barred: the owner of the newer epoch resends it.
             return Vec::new();
         }
-        let Some(attempt) = self.take_back(from, task, attempt, reason) else {
+        let Some(attempt) = self.return_to_waiting(from, task, attempt, reason) else {
             return Vec::new();
         };
-        self.placer.ended(from);
-        let delayed = !self.may_retry(reason) || reason == Refusal::NoConnection || attempt > 2;
+        self.placer.record_ended(from);
+        let delayed =
+            !self.try_immediate_retry(reason) || reason == Refusal::NoConnection || attempt > 2;
         self.requeue(now, task, attempt, delayed);
         self.dispatch(now, fleet)
     }
 
-    /// Returns a sent task to waiting; gives the number of its next attempt.
-    fn take_back(
+    /// Returns a sent task to the waiting state; gives its next attempt number.
+    fn return_to_waiting(
         &mut self,
         from: &MemberId,
         task: TaskId,
         refused: u32,
         reason: Refusal,
     ) -> Option<u32> {
-        let entry = self.entries.get_mut(&task.submission)?;
-        let state = entry.open_task_mut(task.index)?;
+        let record = self.submissions.get_mut(&task.submission)?;
+        let state = record.open_task_mut(task.index)?;
         let TaskState::Sent {
             gate,
             attempt,
@@ -64,7 +64,7 @@
             attempt: next,
             avoid,
         };
-        entry.note(Step::Refused {
+        record.record_step(Step::Refused {
             index: task.index,
             gate: from.clone(),
             reason,
@@ -72,18 +72,17 @@
         Some(next)
     }
 
-    /// Whether a task that did not start may go elsewhere at once; without
-    /// budget it waits first. A departure is no fault of the work and costs
-    /// nothing; gates bound by themselves how often they are busy.
-    fn may_retry(&mut self, reason: Refusal) -> bool {
-        let free = matches!(reason, Refusal::Busy | Refusal::Leaving | Refusal::Barred);
-        free || self.retries.spend()
+    /// Returns whether a refused task may be dispatched again without delay. Busy,
+    /// leaving and barred refusals don't use the retry budget.
+    fn try_immediate_retry(&mut self, reason: Refusal) -> bool {
+        let unbudgeted = matches!(reason, Refusal::Busy | Refusal::Leaving | Refusal::Barred);
+        unbudgeted || self.retries.withdraw()
     }
 
-    /// A gate runs a task, or has it waiting.
-    pub fn running(&mut self, now: Moment, from: &MemberId, task: TaskId) {
-        let entry = self.entries.get_mut(&task.submission);
-        let state = entry.and_then(|entry| entry.open_task_mut(task.index));
+    /// Handles a gate's report that it runs or queues a task.
+    pub fn on_running(&mut self, now: Moment, from: &MemberId, task: TaskId) {
+        let record = self.submissions.get_mut(&task.submission);
+        let state = record.and_then(|record| record.open_task_mut(task.index));
         if let Some(TaskState::Sent {
             gate,
             inquired_us,
@@ -97,8 +96,8 @@
         }
     }
 
-    /// A task ended at a gate.
-    pub fn finished(
+    /// Handles the outcome of a task.
+    pub fn on_finished(
         &mut self,
         now: Moment,
         fleet: &Fleet,
@@ -107,29 +106,29 @@
         outcome: TaskOutcome,
         run_us: u64,
     ) -> OwnerActions {
-        let Some(entry) = self.entries.get_mut(&task.submission) else {
+        let Some(record) = self.submissions.get_mut(&task.submission) else {
             return Vec::new();
         };
         if let TaskOutcome::Done(_) = outcome {
-            let submission = &entry.submission;
+            let submission = &record.submission;
             self.run_times
                 .learn(&submission.service, &submission.kind, run_us);
         }
-        let mut actions = match &mut entry.progress {
+        let mut actions = match &mut record.progress {
             Progress::Recovered { tasks } => {
                 if let Some(task) = tasks.get_mut(&task.index) {
                     task.outcome = Some(outcome);
                 }
                 Vec::new()
             }
-            Progress::Open { .. } => self.task_ended(now, from, task, outcome),
+            Progress::Open { .. } => self.on_task_ended(now, from, task, outcome),
             Progress::Ended { .. } => Vec::new(),
         };
         actions.extend(self.dispatch(now, fleet));
         actions
     }
 
-    fn task_ended(
+    fn on_task_ended(
         &mut self,
         now: Moment,
         from: &MemberId,
@@ -137,12 +136,12 @@
         outcome: TaskOutcome,
     ) -> OwnerActions {
         if outcome == TaskOutcome::Lost {
-            return self.lost(now, from, task);
+            return self.on_task_lost(now, from, task);
         }
-        let Some(entry) = self.entries.get_mut(&task.submission) else {
+        let Some(record) = self.submissions.get_mut(&task.submission) else {
             return Vec::new();
         };
-        let Progress::Open { tasks, left } = &mut entry.progress else {
+        let Progress::Open { tasks, unfinished } = &mut record.progress else {
             return Vec::new();
         };
         let Some(state) = tasks.get_mut(task.index as usize) else {
@@ -152,21 +151,22 @@
             return Vec::new();
         }
         if state.gate() == Some(from) {
-            self.placer.ended(from);
+            self.placer.record_ended(from);
         }
         *state = TaskState::Ended(outcome);
-        *left -= 1;
+        *unfinished -= 1;
         self.backlog.remove(task);
         self.settle(now, task.submission)
     }
 
-    /// What became of a task at a gate is lost.
-    fn lost(&mut self, now: Moment, from: &MemberId, task: TaskId) -> OwnerActions {
-        let repeatable = self.repeatable(task.submission);
-        let Some(entry) = self.entries.get_mut(&task.submission) else {
+    /// Handles a task whose outcome is unknown: retries it if that is allowed, else
+    /// ends it as lost.
+    fn on_task_lost(&mut self, now: Moment, from: &MemberId, task: TaskId) -> OwnerActions {
+        let repeatable = self.is_repeatable(task.submission);
+        let Some(record) = self.submissions.get_mut(&task.submission) else {
             return Vec::new();
         };
-        let Some(state) = entry.open_task_mut(task.index) else {
+        let Some(state) = record.open_task_mut(task.index) else {
             return Vec::new();
         };
         let TaskState::Sent { gate, attempt, .. } = state else {
@@ -176,14 +176,14 @@
             return Vec::new();
         }
         let next = *attempt + 1;
-        self.placer.ended(from);
-        if repeatable && self.retries.spend() {
+        self.placer.record_ended(from);
+        if repeatable && self.retries.withdraw() {
             let avoid = vec![from.clone()];
             *state = TaskState::Waiting {
                 attempt: next,
                 avoid,
             };
-            entry.note(Step::Lost {
+            record.record_step(Step::Lost {
                 index: task.index,
                 gate: from.clone(),
             });
@@ -191,43 +191,43 @@
             return Vec::new();
         }
         *state = TaskState::Ended(TaskOutcome::Lost);
-        entry.note(Step::Lost {
+        record.record_step(Step::Lost {
             index: task.index,
             gate: from.clone(),
         });
-        if let Progress::Open { left, .. } = &mut entry.progress {
-            *left -= 1;
+        if let Progress::Open { unfinished, .. } = &mut record.progress {
+            *unfinished -= 1;
         }
         self.settle(now, task.submission)
     }
 
-    fn repeatable(&self, id: SubmissionId) -> bool {
-        let submission = self.entries.get(&id).map(|entry| &entry.submission);
+    fn is_repeatable(&self, id: SubmissionId) -> bool {
+        let submission = self.submissions.get(&id).map(|record| &record.submission);
         submission.is_some_and(|submission| {
             let kind = self.kind(submission);
             !submission.is_job && kind.is_some_and(|kind| kind.repeatable)
         })
     }
 
-    /// A gate's process is gone; what it had is lost.
-    pub fn gate_gone(&mut self, now: Moment, fleet: &Fleet, gone: &MemberId) -> OwnerActions {
+    /// Handles the end of a gate's process: the tasks it had are lost.
+    pub fn on_gate_gone(&mut self, now: Moment, fleet: &Fleet, gone: &MemberId) -> OwnerActions {
         let mut actions = Vec::new();
         for task in self.tasks_at(gone) {
-            actions.extend(self.lost(now, gone, task));
+            actions.extend(self.on_task_lost(now, gone, task));
         }
-        self.placer.forget(gone);
+        self.placer.remove_gate(gone);
         actions.extend(self.dispatch(now, fleet));
         actions
     }
 
-    /// Tasks that `gate` may have.
+    /// Tasks that were sent to `gate` and have not ended.
     pub fn tasks_at(&self, gate: &MemberId) -> Vec<TaskId> {
         let mut tasks = Vec::new();
         for (_, id) in &self.deadlines {
             let states = self
-                .entries
+                .submissions
                 .get(id)
-                .map_or(&[][..], |entry| entry.open_tasks());
+                .map_or(&[][..], |record| record.open_tasks());
             let here = (0u32..)
                 .zip(states)
                 .filter(|(_, state)| state.gate() == Some(gate));
@@ -239,7 +239,7 @@
         tasks
     }
 
-    /// Sends again what a gate may have missed while its link was down.
+    /// Resends the starts that a gate may have missed while its link was down.
     pub fn link_up(&mut self, now: Moment, gate: &MemberId) -> OwnerActions {
         let tasks = self.tasks_at(gate);
         tasks
@@ -254,31 +254,31 @@
         gate: &MemberId,
         task: TaskId,
     ) -> Option<super::OwnerAction> {
-        let entry = self.entries.get(&task.submission)?;
-        let TaskState::Sent { attempt, .. } = entry.open_tasks().get(task.index as usize)? else {
+        let record = self.submissions.get(&task.submission)?;
+        let TaskState::Sent { attempt, .. } = record.open_tasks().get(task.index as usize)? else {
             return None;
         };
-        let kind = self.kind(&entry.submission)?;
-        let expected_us = self.run_times.expect(&entry.submission.service, kind);
+        let kind = self.kind(&record.submission)?;
+        let expected_us = self.run_times.expect(&record.submission.service, kind);
         let start = self.start(now, task, *attempt, expected_us)?;
         Some(send(gate, Message::Start(Box::new(start))))
     }
 
-    /// Asks gates about tasks that take long; one that was never started is
-    /// barred there and can go elsewhere.
-    pub(super) fn inquire(&mut self, now: Moment, fleet: &Fleet) -> OwnerActions {
-        let after_us = micros(self.inquiry_after());
+    /// Asks gates about tasks without a recent report. A gate bars an attempt that it
+    /// has not started, which can then be retried elsewhere.
+    pub(super) fn send_inquiries(&mut self, now: Moment, fleet: &Fleet) -> OwnerActions {
+        let after_us = micros(self.inquiry_interval());
         let mut actions = Vec::new();
-        let mut silent = Vec::new();
+        let mut unanswered = Vec::new();
         for (_, id) in &self.deadlines {
-            let Some(entry) = self.entries.get_mut(id) else {
+            let Some(record) = self.submissions.get_mut(id) else {
                 continue;
             };
-            let (range, submission) = (entry.range, entry.submission.id);
+            let (range, submission) = (record.range, record.submission.id);
             let Some(held) = self.ranges.get(&range) else {
                 continue;
             };
-            let Progress::Open { tasks, .. } = &mut entry.progress else {
+            let Progress::Open { tasks, .. } = &mut record.progress else {
                 continue;
             };
             for (index, state) in (0u32..).zip(tasks) {
@@ -293,11 +293,11 @@
                     continue;
                 };
                 let task = TaskId { submission, index };
-                let vanished = !fleet.members().contains_key(gate);
-                let waited = |since: u64| since + after_us <= now.mono_us;
-                if *inquired_us > 0 && waited(*inquired_us) && vanished {
-                    silent.push((gate.clone(), task));
-                } else if waited((*at_us).max(*inquired_us)) {
+                let gate_missing = !fleet.members().contains_key(gate);
+                let is_due = |since: u64| since + after_us <= now.mono_us;
+                if *inquired_us > 0 && is_due(*inquired_us) && gate_missing {
+                    unanswered.push((gate.clone(), task));
+                } else if is_due((*at_us).max(*inquired_us)) {
                     *inquired_us = now.mono_us;
                     let message = Message::Inquire {
                         task,
@@ -309,80 +309,86 @@
                 }
             }
         }
-        for (gate, task) in silent {
-            actions.extend(self.lost(now, &gate, task));
+        for (gate, task) in unanswered {
+            actions.extend(self.on_task_lost(now, &gate, task));
         }
         actions
     }
 
-    /// Ends a submission whose tasks allow it.
+    /// Ends a submission if a task failed or all tasks have ended.
     pub(super) fn settle(&mut self, now: Moment, id: SubmissionId) -> OwnerActions {
-        let Some(Progress::Open { tasks, left }) = self.entries.get(&id).map(|e| &e.progress)
+        let Some(Progress::Open { tasks, unfinished }) =
+            self.submissions.get(&id).map(|e| &e.progress)
         else {
             return Vec::new();
         };
-        let failure = tasks.iter().find_map(failure);
+        let failure = tasks.iter().find_map(task_failure);
         if let Some((code, text)) = failure {
-            let answer = self.failed(id, code, &text);
+            let answer = self.failure_answer(id, code, &text);
             return self.end(now, id, answer);
         }
-        if *left > 0 {
+        if *unfinished > 0 {
             return Vec::new();
         }
-        let results = tasks.iter().filter_map(result).collect();
+        let results = tasks.iter().filter_map(task_result).collect();
         self.end(now, id, Answer::complete(results))
     }
 
-    fn failed(&self, id: SubmissionId, code: ResultCode, text: &str) -> Answer {
+    fn failure_answer(&self, id: SubmissionId, code: ResultCode, text: &str) -> Answer {
         let tasks = self
-            .entries
+            .submissions
             .get(&id)
-            .map_or(&[][..], |entry| entry.open_tasks());
-        Answer::failure(code, entry::effect(tasks), text)
+            .map_or(&[][..], |record| record.open_tasks());
+        Answer::failure(code, submission::effect(tasks), text)
     }
 
-    pub(super) fn end_late(&mut self, now: Moment) -> OwnerActions {
+    pub(super) fn expire_overdue(&mut self, now: Moment) -> OwnerActions {
         let mut actions = Vec::new();
         while let Some((deadline_us, id)) = self.deadlines.first().copied() {
             if deadline_us > now.mono_us {
                 break;
             }
-            let answer = self.failed(id, ResultCode::DeadlinePassed, "the deadline passed");
+            let answer = self.failure_answer(
+                id,
+                ResultCode::DeadlinePassed,
+                "deadline passed before all tasks ended",
+            );
             actions.extend(self.end(now, id, answer));
             self.deadlines.remove(&(deadline_us, id));
         }
         actions
     }
 
-    /// Gives a submission its answer, tells who waits, and stops the rest.
+    /// Records the answer of a submission, sends it to the waiters and stops the
+    /// remaining tasks.
     pub(super) fn end(&mut self, now: Moment, id: SubmissionId, answer: Answer) -> OwnerActions {
-        let expiry = self.keep_until(now, id);
-        let Some(entry) = self.entries.get_mut(&id) else {
+        let expiry = self.retain_until_ms(now, id);
+        let Some(record) = self.submissions.get_mut(&id) else {
             return Vec::new();
         };
-        let may_run_again = answer.effect == Effect::NotRun && answer.code != ResultCode::Cancelled;
-        let next_attempt = match may_run_again {
-            true => entry.next_attempt(),
+        let can_run_again = answer.effect == Effect::NotRun && answer.code != ResultCode::Cancelled;
+        let next_attempt = match can_run_again {
+            true => record.next_attempt(),
             false => u32::MAX,
         };
         let ended = Progress::Ended {
             answer: answer.clone(),
             next_attempt,
         };
-        let gates = entry.gates();
-        let before = std::mem::replace(&mut entry.progress, ended);
-        entry.submission.tasks = Vec::new();
-        self.deadlines.remove(&(entry.deadline_us, id));
+        let gates = record.gates();
+        let previous = std::mem::replace(&mut record.progress, ended);
+        record.submission.tasks = Vec::new();
+        self.deadlines.remove(&(record.deadline_us, id));
         self.expiries.insert((expiry, id));
-        let waiters = std::mem::take(&mut entry.waiters);
-        let mut actions = self.drop_tasks(id, &before, &gates);
+        let waiters = std::mem::take(&mut record.waiters);
+        let mut actions = self.release_tasks(id, &previous, &gates);
         let message = |to: &MemberId| answer_to(to, id, Ask::Submit, answer.clone());
         actions.extend(waiters.iter().map(message));
         actions
     }
 
-    /// Takes waiting tasks out of the backlog and stops those at gates.
-    fn drop_tasks(
+    /// Removes waiting tasks from the backlog and stops those at gates.
+    fn release_tasks(
         &mut self,
         submission: SubmissionId,
         progress: &Progress,
@@ -391,7 +397,9 @@
         if let Progress::Open { tasks, .. } = progress {
             let indexes = (0u32..).zip(tasks).map(|(index, _)| index);
             indexes.for_each(|index| self.backlog.remove(TaskId { submission, index }));
-            gates.iter().for_each(|(_, gate)| self.placer.ended(gate));
+            gates
+                .iter()
+                .for_each(|(_, gate)| self.placer.record_ended(gate));
         }
         let stop = |index: u32| Message::Stop {
             task: TaskId { submission, index },
@@ -403,15 +411,15 @@
     }
 }
 
-fn failure(state: &TaskState) -> Option<(ResultCode, String)> {
+fn task_failure(state: &TaskState) -> Option<(ResultCode, String)> {
     match state {
         TaskState::Ended(TaskOutcome::Failed { status, body }) => {
             let body = String::from_utf8_lossy(body);
-            let text = format!("the target answered {status}: {body}");
+            let text = format!("target answered with status {status}: {body}");
             Some((ResultCode::TaskFailed, text))
         }
         TaskState::Ended(TaskOutcome::Lost) => {
-            let text = "what became of a task is lost".to_string();
+            let text = "outcome of a task is unknown".to_string();
             Some((ResultCode::OutcomeUnknown, text))
         }
         TaskState::Ended(TaskOutcome::Stopped) => {
@@ -421,7 +429,7 @@
     }
 }
 
-fn result(state: &TaskState) -> Option<Bytes> {
+fn task_result(state: &TaskState) -> Option<Bytes> {
     match state {
         TaskState::Ended(TaskOutcome::Done(body)) => Some(body.clone()),
         _ => None,
--- a/src/owner/ranges.rs
+++ b/src/owner/ranges.rs
@@ -1,11 +1,10 @@
-//! How an owner gains, recovers, hands over and loses key ranges.
+//! Acquisition, recovery, handover and loss of key ranges.
 //!
-//! After a crash the new owner first waits until no wall clock of the old
-//! owner can still admit an id that lies above the horizon, then asks every
-//! gate what it started in the range. Each gate that answers takes no start of
-//! an older epoch any more. Once all have answered, an id that none of them
-//! knows has provably never started. A gate that is gone cannot answer: for
-//! ids from before its departure the outcome stays unknown.
+//! After a crash, the new owner waits until the old owner can no longer admit ids above
+//! the horizon. It then asks every gate which tasks of the range it started. A gate
+//! that answers refuses starts of older epochs from then on. When all gates have
+//! answered, an id that none of them reported has never started. If a gate is gone, the
+//! outcome of ids older than its departure stays unknown.
 
 use std::collections::{BTreeMap, HashSet};
 use std::time::Duration;
@@ -15,19 +14,19 @@
 use crate::message::{
     Handover, HandoverEntry, HandoverTask, Message, RecoveredTask, StartedTask, Submission,
 };
-use crate::owner::entry::{Entry, Progress, Step, TaskState};
+use crate::owner::submission::{Progress, Step, SubmissionRecord, TaskState};
 use crate::owner::{Owner, OwnerAction, OwnerActions, send};
 use crate::time::Moment;
 
-/// How long gates get to answer a recovery before it goes on without proof.
-const RECOVERY_PATIENCE: Duration = Duration::from_millis(1_000);
-/// How often a recovery asks again.
-const RECOVERY_REPEAT: Duration = Duration::from_millis(250);
+/// After this time, recovery ends without proof that unreported ids never started.
+const RECOVERY_TIMEOUT: Duration = Duration::from_millis(1_000);
+/// Interval at which gates that have not answered are asked again.
+const RECOVERY_RETRY_INTERVAL: Duration = Duration::from_millis(250);
 
-/// A range that this process holds or is gaining.
+/// A range that this process holds or is acquiring.
 #[derive(Clone, Debug)]
-pub struct Held {
-    /// Epoch in the table.
+pub struct HeldRange {
+    /// Epoch of the range in the table.
     pub epoch: Epoch,
     phase: Phase,
     horizon_ms: u64,
@@ -36,28 +35,28 @@
 
 #[derive(Clone, Debug)]
 enum Phase {
-    /// Waits until the old owner can admit nothing more.
+    /// Waits until the old owner can no longer admit submissions.
     Waiting { until_us: u64 },
-    /// Asks the gates.
+    /// Asks the gates which tasks they started.
     Recovering {
-        missing: HashSet<MemberId>,
-        ask_us: u64,
+        unanswered: HashSet<MemberId>,
+        next_request_us: u64,
         until_us: u64,
     },
-    /// Serves.
+    /// Serves submissions.
     Active,
-    /// Serves nothing while it is handed over.
+    /// Serves no submissions while it is handed over.
     Frozen,
 }
 
-impl Held {
+impl HeldRange {
     /// Whether it serves submissions.
     pub fn is_active(&self) -> bool {
         matches!(self.phase, Phase::Active)
     }
 
-    /// Whether it will serve once its gates have answered.
-    pub fn is_gaining(&self) -> bool {
+    /// Whether it becomes active once recovery ends.
+    pub fn is_acquiring(&self) -> bool {
         matches!(self.phase, Phase::Waiting { .. } | Phase::Recovering { .. })
     }
 
@@ -66,13 +65,13 @@
         matches!(self.phase, Phase::Frozen)
     }
 
-    /// Whether an id of this time that the table does not hold never started.
-    pub fn proves_new(&self, time_ms: u64) -> bool {
+    /// Whether an unknown id with this timestamp has certainly never started.
+    pub fn is_provably_new(&self, time_ms: u64) -> bool {
         time_ms > self.horizon_ms || time_ms > self.proof_floor_ms
     }
 
-    /// Word for its state in operators' tables.
-    pub fn word(&self) -> &'static str {
+    /// State as shown in operator tables.
+    pub fn state_name(&self) -> &'static str {
         match self.phase {
             Phase::Waiting { .. } => "waiting",
             Phase::Recovering { .. } => "recovering",
@@ -83,14 +82,14 @@
 }
 
 impl Owner {
-    /// Makes the held ranges match the table; `holder` is the own lease.
+    /// Acquires and drops ranges to match the table; `holder` is the local lease.
     pub fn reconcile(
         &mut self,
         now: Moment,
         fleet: &Fleet,
         holder: Option<&Holder>,
     ) -> OwnerActions {
-        let mut actions = self.lose_ranges(fleet, holder);
+        let mut actions = self.drop_lost_ranges(fleet, holder);
         let Some(holder) = holder else {
             return actions;
         };
@@ -99,51 +98,55 @@
             let range = RangeId(index);
             let known = self.ranges.get(&range).map(|held| held.epoch);
             if known != Some(row.epoch) {
-                actions.extend(self.gain(now, range, row));
+                actions.extend(self.acquire(now, range, row));
             }
         }
         actions
     }
 
-    /// Drops ranges that the table gives to another process.
-    fn lose_ranges(&mut self, fleet: &Fleet, holder: Option<&Holder>) -> OwnerActions {
+    /// Drops ranges that the table assigns to another process.
+    fn drop_lost_ranges(&mut self, fleet: &Fleet, holder: Option<&Holder>) -> OwnerActions {
         let table = fleet.table();
-        let me = holder.map_or(&self.me, |holder| &holder.member);
-        let lost = |range: &RangeId| table.row(*range).is_some_and(|row| row.owner.member != *me);
+        let member = holder.map_or(&self.id, |holder| &holder.member);
+        let lost = |range: &RangeId| {
+            table
+                .row(*range)
+                .is_some_and(|row| row.owner.member != *member)
+        };
         let lost: Vec<RangeId> = self.ranges.keys().copied().filter(lost).collect();
         lost.into_iter()
-            .flat_map(|range| self.lose(range))
+            .flat_map(|range| self.drop_range(range))
             .collect()
     }
 
-    fn lose(&mut self, range: RangeId) -> OwnerActions {
+    fn drop_range(&mut self, range: RangeId) -> OwnerActions {
         self.ranges.remove(&range);
         let mut actions = vec![OwnerAction::Range {
             range,
             event: "lost",
         }];
-        for id in self.ids_in(range) {
-            actions.extend(self.abandon(id));
+        for id in self.submissions_in(range) {
+            actions.extend(self.drop_submission(id));
         }
         actions
     }
 
-    /// Forgets a submission that another process answers for now.
-    fn abandon(&mut self, id: SubmissionId) -> OwnerActions {
-        let Some(entry) = self.entries.remove(&id) else {
+    /// Removes a submission whose range now belongs to another process.
+    fn drop_submission(&mut self, id: SubmissionId) -> OwnerActions {
+        let Some(record) = self.submissions.remove(&id) else {
             return Vec::new();
         };
-        self.deadlines.remove(&(entry.deadline_us, id));
-        for (index, state) in (0u32..).zip(entry.open_tasks()) {
+        self.deadlines.remove(&(record.deadline_us, id));
+        for (index, state) in (0u32..).zip(record.open_tasks()) {
             self.backlog.remove(TaskId {
                 submission: id,
                 index,
             });
             if let Some(gate) = state.gate() {
-                self.placer.ended(gate);
+                self.placer.record_ended(gate);
             }
         }
-        let waiters = entry.waiters.iter();
+        let waiters = record.waiters.iter();
         waiters
             .map(|to| {
                 send(
@@ -157,23 +160,23 @@
             .collect()
     }
 
-    fn ids_in(&self, range: RangeId) -> Vec<SubmissionId> {
-        let entries = self.entries.iter();
-        let in_range = entries.filter(|(_, entry)| entry.range == range);
+    fn submissions_in(&self, range: RangeId) -> Vec<SubmissionId> {
+        let records = self.submissions.iter();
+        let in_range = records.filter(|(_, record)| record.range == range);
         in_range.map(|(id, _)| *id).collect()
     }
 
-    fn gain(&mut self, now: Moment, range: RangeId, row: &Row) -> OwnerActions {
-        let before = self.ranges.get(&range).map(|held| held.epoch);
+    fn acquire(&mut self, now: Moment, range: RangeId, row: &Row) -> OwnerActions {
+        let previous_epoch = self.ranges.get(&range).map(|held| held.epoch);
         let handover = self.handovers.remove(&range);
         match row.passage {
-            Passage::First => self.activate_at(range, row.epoch, 0, 0),
-            Passage::Resumed if before.map(Epoch::next) == Some(row.epoch) => {
+            Passage::First => self.insert_active(range, row.epoch, 0, 0),
+            Passage::Resumed if previous_epoch.map(Epoch::next) == Some(row.epoch) => {
                 self.resume_range(now, range, row.epoch)
             }
             Passage::HandedOver => match handover {
                 Some(handover) if handover.epoch.next() == row.epoch => {
-                    self.take_over_handed(now, range, row.epoch, handover)
+                    self.apply_handover(now, range, row.epoch, handover)
                 }
                 _ => self.take_over(now, range, row),
             },
@@ -181,14 +184,14 @@
         }
     }
 
-    fn activate_at(
+    fn insert_active(
         &mut self,
         range: RangeId,
         epoch: Epoch,
         horizon_ms: u64,
         proof_floor_ms: u64,
     ) -> OwnerActions {
-        let held = Held {
+        let held = HeldRange {
             epoch,
             phase: Phase::Active,
             horizon_ms,
@@ -202,8 +205,8 @@
         }]
     }
 
-    /// Goes on with a range under its next epoch; gates that saw the new table
-    /// first refused what was on its way under the old one.
+    /// Continues a range under its next epoch and resends its starts, as gates that
+    /// already have the new table refuse starts of the old epoch.
     fn resume_range(&mut self, now: Moment, range: RangeId, epoch: Epoch) -> OwnerActions {
         if let Some(held) = self.ranges.get_mut(&range) {
             held.epoch = epoch;
@@ -212,9 +215,9 @@
             range,
             event: "resumed",
         }];
-        for submission in self.ids_in(range) {
-            let entry = self.entries.get(&submission);
-            let gates = entry.map(Entry::gates).unwrap_or_default();
+        for submission in self.submissions_in(range) {
+            let record = self.submissions.get(&submission);
+            let gates = record.map(SubmissionRecord::gates).unwrap_or_default();
             let resent = gates.iter().filter_map(|(index, gate)| {
                 self.resend(
                     now,
@@ -232,11 +235,11 @@
 
     fn take_over(&mut self, now: Moment, range: RangeId, row: &Row) -> OwnerActions {
         let mut actions = Vec::new();
-        for id in self.ids_in(range) {
-            actions.extend(self.abandon(id));
+        for id in self.submissions_in(range) {
+            actions.extend(self.drop_submission(id));
         }
         let until_us = now.after(self.config.ownership.takeover_wait());
-        let held = Held {
+        let held = HeldRange {
             epoch: row.epoch,
             phase: Phase::Waiting { until_us },
             horizon_ms: u64::MAX,
@@ -250,7 +253,7 @@
         actions
     }
 
-    /// Moves every range on that waits or recovers.
+    /// Advances every range that waits or recovers.
     pub(super) fn advance_ranges(&mut self, now: Moment, fleet: &Fleet) -> OwnerActions {
         let ranges: Vec<RangeId> = self.ranges.keys().copied().collect();
         let mut actions = Vec::new();
@@ -266,55 +269,59 @@
         };
         match &mut held.phase {
             Phase::Waiting { until_us } if *until_us <= now.mono_us => {
-                // A gate may have gone while this owner waited.
+                // A gate may have left during the wait.
                 let row = fleet.table().row(range);
                 let departure_ms = row.map_or(u64::MAX, |row| row.departure_ms);
                 held.proof_floor_ms = held.proof_floor_ms.max(departure_ms);
                 held.phase = Phase::Recovering {
-                    missing: fleet.table().gates.iter().cloned().collect(),
-                    ask_us: 0,
-                    until_us: now.after(RECOVERY_PATIENCE),
+                    unanswered: fleet.table().gates.iter().cloned().collect(),
+                    next_request_us: 0,
+                    until_us: now.after(RECOVERY_TIMEOUT),
                 };
-                self.ask_gates(now, range)
+                self.send_recovery_requests(now, range)
             }
             Phase::Recovering {
-                missing, until_us, ..
+                unanswered,
+                until_us,
+                ..
             } => {
                 let present = |gate: &MemberId| fleet.table().gates.contains(gate);
-                let gone = missing.iter().any(|gate| !present(gate));
+                let gone = unanswered.iter().any(|gate| !present(gate));
                 if gone || *until_us <= now.mono_us {
                     held.proof_floor_ms = u64::MAX;
-                    return self.activate(now, range);
+                    return self.finish_recovery(now, range);
                 }
-                self.ask_gates(now, range)
+                self.send_recovery_requests(now, range)
             }
             _ => Vec::new(),
         }
     }
 
-    fn ask_gates(&mut self, now: Moment, range: RangeId) -> OwnerActions {
+    fn send_recovery_requests(&mut self, now: Moment, range: RangeId) -> OwnerActions {
         let Some(held) = self.ranges.get_mut(&range) else {
             return Vec::new();
         };
         let epoch = held.epoch;
         let Phase::Recovering {
-            missing, ask_us, ..
+            unanswered,
+            next_request_us,
+            ..
         } = &mut held.phase
         else {
             return Vec::new();
         };
-        if *ask_us > now.mono_us {
+        if *next_request_us > now.mono_us {
             return Vec::new();
         }
-        *ask_us = now.after(RECOVERY_REPEAT);
+        *next_request_us = now.after(RECOVERY_RETRY_INTERVAL);
         let message = Message::Recover { range, epoch };
-        missing
+        unanswered
             .iter()
             .map(|gate| send(gate, message.clone()))
             .collect()
     }
 
-    fn activate(&mut self, now: Moment, range: RangeId) -> OwnerActions {
+    fn finish_recovery(&mut self, now: Moment, range: RangeId) -> OwnerActions {
         self.served.insert(range);
         if let Some(held) = self.ranges.get_mut(&range) {
             held.phase = Phase::Active;
@@ -326,8 +333,8 @@
         }]
     }
 
-    /// A gate lists what it started in a range.
-    pub fn recovered(
+    /// Handles a gate's list of the tasks that it started in a range.
+    pub fn on_recovered(
         &mut self,
         now: Moment,
         from: &MemberId,
@@ -342,36 +349,45 @@
         else {
             return Vec::new();
         };
-        let Phase::Recovering { missing, .. } = &mut held.phase else {
+        let Phase::Recovering { unanswered, .. } = &mut held.phase else {
             return Vec::new();
         };
-        let complete = missing.remove(from) && missing.is_empty();
+        let complete = unanswered.remove(from) && unanswered.is_empty();
         for started in tasks {
-            self.inherit(now, range, from, started);
+            self.add_recovered_task(now, range, from, started);
         }
         match complete {
-            true => self.activate(now, range),
+            true => self.finish_recovery(now, range),
             false => Vec::new(),
         }
     }
 
-    fn inherit(&mut self, now: Moment, range: RangeId, gate: &MemberId, started: StartedTask) {
+    fn add_recovered_task(
+        &mut self,
+        now: Moment,
+        range: RangeId,
+        gate: &MemberId,
+        started: StartedTask,
+    ) {
         let id = started.task.submission;
-        let expiry = self.keep_until(now, id);
-        let entry = self.entries.entry(id).or_insert_with(|| Entry {
-            submission: Submission::question(id, 0),
-            range,
-            progress: Progress::Recovered {
-                tasks: BTreeMap::new(),
-            },
-            waiters: Vec::new(),
-            calls: Vec::new(),
-            deadline_us: 0,
-            accepted_ms: now.wall_ms,
-            steps: Vec::new(),
-        });
+        let expiry = self.retain_until_ms(now, id);
+        let record = self
+            .submissions
+            .entry(id)
+            .or_insert_with(|| SubmissionRecord {
+                submission: Submission::question(id, 0),
+                range,
+                progress: Progress::Recovered {
+                    tasks: BTreeMap::new(),
+                },
+                waiters: Vec::new(),
+                calls: Vec::new(),
+                deadline_us: 0,
+                accepted_ms: now.wall_ms,
+                steps: Vec::new(),
+            });
         self.expiries.insert((expiry, id));
-        let Progress::Recovered { tasks } = &mut entry.progress else {
+        let Progress::Recovered { tasks } = &mut record.progress else {
             return;
         };
         let index = started.task.index;
@@ -383,7 +399,7 @@
         tasks.insert(index, task);
     }
 
-    /// Stops serving a range and says everything about it to its successor.
+    /// Stops serving a range and sends its state to the successor.
     pub fn freeze(&mut self, now: Moment, range: RangeId, to: &MemberId) -> OwnerActions {
         let Some(held) = self.ranges.get_mut(&range) else {
             return Vec::new();
@@ -393,26 +409,26 @@
         }
         held.phase = Phase::Frozen;
         let held = held.clone();
-        let ids = self.ids_in(range);
-        let entries = ids.iter().filter_map(|id| self.entries.get(id));
+        let ids = self.submissions_in(range);
+        let records = ids.iter().filter_map(|id| self.submissions.get(id));
         let handover = Handover {
             range,
             epoch: held.epoch,
             horizon_ms: held.horizon_ms,
             proof_floor_ms: held.proof_floor_ms,
-            entries: entries.map(|entry| handover_entry(now, entry)).collect(),
+            entries: records.map(|record| handover_entry(now, record)).collect(),
         };
         vec![send(to, Message::Handover(Box::new(handover)))]
     }
 
-    /// A leaving owner says everything about a range.
-    pub fn take_handover(&mut self, from: &MemberId, handover: Handover) -> OwnerActions {
+    /// Stores the state of a range that another owner hands over.
+    pub fn on_handover(&mut self, from: &MemberId, handover: Handover) -> OwnerActions {
         let (range, epoch) = (handover.range, handover.epoch);
         self.handovers.insert(range, handover);
         vec![send(from, Message::HandoverTaken { range, epoch })]
     }
 
-    fn take_over_handed(
+    fn apply_handover(
         &mut self,
         now: Moment,
         range: RangeId,
@@ -420,17 +436,22 @@
         handover: Handover,
     ) -> OwnerActions {
         let (horizon_ms, floor_ms) = (handover.horizon_ms, handover.proof_floor_ms);
-        let mut actions = self.activate_at(range, epoch, horizon_ms, floor_ms);
+        let mut actions = self.insert_active(range, epoch, horizon_ms, floor_ms);
         for entry in handover.entries {
-            actions.extend(self.take_entry(now, range, entry));
+            actions.extend(self.restore_submission(now, range, entry));
         }
         actions
     }
 
-    fn take_entry(&mut self, now: Moment, range: RangeId, entry: HandoverEntry) -> OwnerActions {
+    fn restore_submission(
+        &mut self,
+        now: Moment,
+        range: RangeId,
+        entry: HandoverEntry,
+    ) -> OwnerActions {
         let id = entry.submission.id;
         if entry.answer.is_some() || !entry.recovered.is_empty() {
-            self.keep(now, range, entry);
+            self.restore_inactive(now, range, entry);
             return Vec::new();
         }
         let tasks: Vec<TaskState> = entry
@@ -451,12 +472,12 @@
             })
             .collect();
         self.open(now, &entry.waiters, entry.submission, tasks);
-        if let Some(kept) = self.entries.get_mut(&id) {
-            kept.calls = entry.calls;
-            kept.note(Step::Inherited);
+        if let Some(record) = self.submissions.get_mut(&id) {
+            record.calls = entry.calls;
+            record.record_step(Step::Inherited);
         }
         for (gate, _) in &sent {
-            self.placer.sent(now, gate);
+            self.placer.record_sent(now, gate);
         }
         let resent = sent
             .iter()
@@ -466,9 +487,9 @@
         actions
     }
 
-    /// Keeps what needs no work: an answer, or tasks that an owner before
-    /// started.
-    fn keep(&mut self, now: Moment, range: RangeId, entry: HandoverEntry) {
+    /// Restores a submission that has no open tasks: it has an answer, or only tasks
+    /// that a previous owner started.
+    fn restore_inactive(&mut self, now: Moment, range: RangeId, entry: HandoverEntry) {
         let id = entry.submission.id;
         let by_index = entry.recovered.into_iter().map(|task| (task.index, task));
         let progress = match entry.answer {
@@ -480,7 +501,7 @@
                 tasks: by_index.collect(),
             },
         };
-        let kept = Entry {
+        let record = SubmissionRecord {
             submission: entry.submission,
             range,
             progress,
@@ -490,28 +511,28 @@
             accepted_ms: now.wall_ms,
             steps: vec![Step::Inherited],
         };
-        self.entries.insert(id, kept);
-        let expiry = self.keep_until(now, id);
+        self.submissions.insert(id, record);
+        let expiry = self.retain_until_ms(now, id);
         self.expiries.insert((expiry, id));
     }
 }
 
-fn handover_entry(now: Moment, entry: &Entry) -> HandoverEntry {
-    let mut submission = entry.submission.clone();
-    submission.budget_ms = now.left(entry.deadline_us).as_millis() as u64;
-    let (next_attempt, recovered) = match &entry.progress {
-        Progress::Open { .. } => (entry.next_attempt(), Vec::new()),
+fn handover_entry(now: Moment, record: &SubmissionRecord) -> HandoverEntry {
+    let mut submission = record.submission.clone();
+    submission.budget_ms = now.left(record.deadline_us).as_millis() as u64;
+    let (next_attempt, recovered) = match &record.progress {
+        Progress::Open { .. } => (record.next_attempt(), Vec::new()),
         Progress::Ended { next_attempt, .. } => (*next_attempt, Vec::new()),
         Progress::Recovered { tasks } => (0, tasks.values().cloned().collect()),
     };
     HandoverEntry {
         submission,
-        answer: entry.answer().cloned(),
+        answer: record.answer().cloned(),
         next_attempt,
-        calls: entry.calls.clone(),
-        tasks: entry.open_tasks().iter().map(handover_task).collect(),
+        calls: record.calls.clone(),
+        tasks: record.open_tasks().iter().map(handover_task).collect(),
         recovered,
-        waiters: entry.waiters.clone(),
+        waiters: record.waiters.clone(),
     }
 }
 
--- a/src/owner/entry.rs
+++ b/src/owner/submission.rs
@@ -1,4 +1,4 @@
-//! One submission at its owner.
+//! State of one submission and its tasks at the owner.
 
 use std::collections::BTreeMap;
 
@@ -6,60 +6,60 @@
 use crate::id::{MemberId, RangeId};
 use crate::message::{Answer, RecoveredTask, Refusal, Submission, TaskOutcome};
 
-/// Steps that are kept to explain a submission.
-const STEPS_KEPT: usize = 16;
+/// Steps retained for each submission.
+const MAX_STEPS: usize = 16;
 
-/// A submission and how far it came.
+/// A submission and its progress.
 #[derive(Clone, Debug)]
-pub struct Entry {
-    /// The submission; without payloads once it ended.
+pub struct SubmissionRecord {
+    /// The submission; its payloads are dropped when it ends.
     pub submission: Submission,
-    /// Its range.
+    /// Key range of its id.
     pub range: RangeId,
-    /// How far it came.
+    /// Current state.
     pub progress: Progress,
     /// Entries that wait for the answer.
     pub waiters: Vec<MemberId>,
-    /// Tries that it came with; one that was told "not run" must not run when
-    /// a late copy of it arrives.
+    /// Call numbers received for it. A call that was answered "not run" must not run
+    /// when a delayed duplicate arrives.
     pub calls: Vec<u64>,
     /// Deadline on the owner's monotonic clock.
     pub deadline_us: u64,
-    /// Wall clock at which it was accepted.
+    /// Wall-clock time of acceptance.
     pub accepted_ms: u64,
-    /// Steps that explain it, oldest first.
+    /// Recorded steps, oldest first.
     pub steps: Vec<Step>,
 }
 
-/// How far a submission came.
+/// State of a submission.
 #[derive(Clone, Debug)]
 pub enum Progress {
-    /// Its tasks are worked on.
+    /// Some tasks have not ended.
     Open {
         /// State of each task.
         tasks: Vec<TaskState>,
         /// Tasks that have not ended.
-        left: usize,
+        unfinished: usize,
     },
-    /// It has its answer.
+    /// It has an answer.
     Ended {
         /// The answer.
         answer: Answer,
-        /// First attempt number that no gate has seen, if it may run again.
+        /// First unused attempt number; `u32::MAX` if it must not run again.
         next_attempt: u32,
     },
-    /// A gate told of tasks that an owner before started; its caller has not
-    /// come back yet.
+    /// A gate reported tasks that a previous owner started; the caller has not sent it
+    /// again yet.
     Recovered {
-        /// The tasks by their index.
+        /// Reported tasks by index.
         tasks: BTreeMap<u32, RecoveredTask>,
     },
 }
 
-/// State of a task at its owner.
+/// State of a task at the owner.
 #[derive(Clone, Debug)]
 pub enum TaskState {
-    /// Not sent; no gate will start it.
+    /// Not sent; no gate can start it.
     Waiting {
         /// Number of the next attempt.
         attempt: u32,
@@ -72,11 +72,11 @@
         gate: MemberId,
         /// Number of the attempt.
         attempt: u32,
-        /// Monotonic microseconds at which it was sent.
+        /// Monotonic time of the send or of the gate's last report.
         at_us: u64,
-        /// Monotonic microseconds of the latest inquiry; 0 if none.
+        /// Monotonic time of the pending inquiry; 0 if none.
         inquired_us: u64,
-        /// Gates that refused it before.
+        /// Gates that refused earlier attempts.
         avoid: Vec<MemberId>,
     },
     /// Ended.
@@ -84,7 +84,7 @@
 }
 
 impl TaskState {
-    /// A task that was never sent.
+    /// A waiting task that no gate has refused.
     pub fn new(attempt: u32) -> TaskState {
         TaskState::Waiting {
             attempt,
@@ -92,7 +92,7 @@
         }
     }
 
-    /// The gate that may start it or runs it.
+    /// The gate that it was sent to, while it is there.
     pub fn gate(&self) -> Option<&MemberId> {
         match self {
             TaskState::Sent { gate, .. } => Some(gate),
@@ -100,7 +100,7 @@
         }
     }
 
-    /// What is known of its execution.
+    /// Whether it has run, as far as known.
     pub fn effect(&self) -> Effect {
         match self {
             TaskState::Waiting { .. } => Effect::NotRun,
@@ -109,8 +109,8 @@
         }
     }
 
-    /// Word for its state in operators' tables.
-    pub fn word(&self) -> &'static str {
+    /// State as shown in operator tables.
+    pub fn state_name(&self) -> &'static str {
         match self {
             TaskState::Waiting { .. } => "waiting",
             TaskState::Sent { .. } => "sent",
@@ -129,7 +129,7 @@
     }
 }
 
-/// One step of a submission, for `why`.
+/// A step in the processing of a submission, as shown to operators.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Step {
     /// A task was sent to a gate.
@@ -138,9 +138,9 @@
         index: u32,
         /// The gate.
         gate: MemberId,
-        /// The load it was thought to have.
+        /// Estimated load of the gate.
         load: f64,
-        /// Gates that were weighed.
+        /// Number of gates considered.
         candidates: usize,
     },
     /// A gate did not start a task.
@@ -149,21 +149,21 @@
         index: u32,
         /// The gate.
         gate: MemberId,
-        /// Why.
+        /// Reason of the refusal.
         reason: Refusal,
     },
-    /// What became of a task at a gate was lost.
+    /// The outcome of a task at a gate is unknown.
     Lost {
         /// The task's index.
         index: u32,
         /// The gate.
         gate: MemberId,
     },
-    /// It came from an owner before.
+    /// It was taken over from a previous owner.
     Inherited,
 }
 
-/// What is known of the execution of all `tasks` together.
+/// Combined effect of all `tasks`.
 pub fn effect(tasks: &[TaskState]) -> Effect {
     let has = |wanted| tasks.iter().any(|task| task.effect() == wanted);
     if has(Effect::Ran) {
@@ -175,8 +175,8 @@
     }
 }
 
-impl Entry {
-    /// The answer, once there is one.
+impl SubmissionRecord {
+    /// The answer, if it has ended.
     pub fn answer(&self) -> Option<&Answer> {
         match &self.progress {
             Progress::Ended { answer, .. } => Some(answer),
@@ -184,7 +184,7 @@
         }
     }
 
-    /// Its tasks while they are worked on.
+    /// Tasks of an open submission; empty otherwise.
     pub fn open_tasks(&self) -> &[TaskState] {
         match &self.progress {
             Progress::Open { tasks, .. } => tasks,
@@ -192,7 +192,7 @@
         }
     }
 
-    /// What is known of its execution; a recovered task was given to a gate.
+    /// Whether it has run, as far as known; recovered tasks may have run.
     pub fn effect(&self) -> Effect {
         match &self.progress {
             Progress::Open { tasks, .. } => effect(tasks),
@@ -204,7 +204,7 @@
         }
     }
 
-    /// Gates that may have a task of it.
+    /// Task indices with the gates that may still run them.
     pub fn gates(&self) -> Vec<(u32, MemberId)> {
         match &self.progress {
             Progress::Open { tasks, .. } => {
@@ -220,7 +220,7 @@
         }
     }
 
-    /// One of its tasks, while they are worked on.
+    /// A task of an open submission.
     pub fn open_task_mut(&mut self, index: u32) -> Option<&mut TaskState> {
         match &mut self.progress {
             Progress::Open { tasks, .. } => tasks.get_mut(index as usize),
@@ -228,9 +228,8 @@
         }
     }
 
-    /// Whether a submission may start anew: nothing of it ran, and this is a
-    /// new try of its caller.
-    pub fn may_reopen(&self, call: u64) -> bool {
+    /// Whether `call` may start it again: nothing of it ran, and the call is new.
+    pub fn can_reopen(&self, call: u64) -> bool {
         match &self.progress {
             Progress::Ended {
                 answer,
@@ -243,28 +242,28 @@
         }
     }
 
-    /// Adds someone who waits for the answer.
-    pub fn wait(&mut self, entry: &MemberId) {
+    /// Adds an entry that waits for the answer.
+    pub fn add_waiter(&mut self, entry: &MemberId) {
         if !self.waiters.contains(entry) {
             self.waiters.push(entry.clone());
         }
     }
 
-    /// Notes a step; beyond a number of them only the first are kept.
-    pub fn note(&mut self, step: Step) {
-        if self.steps.len() < STEPS_KEPT {
+    /// Records a step, unless the limit is reached.
+    pub fn record_step(&mut self, step: Step) {
+        if self.steps.len() < MAX_STEPS {
             self.steps.push(step);
         }
     }
 
-    /// First attempt number that no gate has seen.
+    /// First unused attempt number.
     pub fn next_attempt(&self) -> u32 {
         let attempts = self.open_tasks().iter().map(TaskState::attempt);
         attempts.max().map_or(0, |attempt| attempt + 1)
     }
 
-    /// Word for its state in operators' tables.
-    pub fn word(&self) -> &'static str {
+    /// State as shown in operator tables.
+    pub fn state_name(&self) -> &'static str {
         match &self.progress {
             Progress::Open { .. } => "open",
             Progress::Ended { answer, .. } => answer.code.name(),
--- a/src/ownership/handover.rs
+++ b/src/ownership/handover.rs
@@ -1,22 +1,22 @@
-//! Which ranges a member hands over, to whom, and how far that has come.
+//! Selection and progress of range handovers.
 //!
-//! A leaving member hands over everything; one that owns more than its part hands
-//! over the surplus, and no more, since others hand over to the same member. A range passes in the table only once its successor has
-//! taken what it was told.
+//! A leaving member hands over all its ranges. A member with more than its fair share
+//! hands over the surplus, limited to what the successor lacks. A range moves in the
+//! table only after the successor has confirmed that it received the state.
 
 use std::time::Duration;
 
 use crate::fleet::{Fleet, MemberRecord};
 use crate::id::{Epoch, MemberId, RangeId};
-use crate::ownership::{Ownership, OwnershipAction, RETRY, rank};
+use crate::ownership::{Ownership, OwnershipAction, RETRY_DELAY, rank};
 use crate::time::{Moment, micros};
 
-/// A handover that is not taken is sent again after this.
-const HANDOVER_REPEAT: Duration = Duration::from_millis(500);
+/// Interval at which an unconfirmed handover is resent.
+const HANDOVER_RESEND_INTERVAL: Duration = Duration::from_millis(500);
 
-/// A handover under way.
+/// A handover in progress.
 #[derive(Clone, Debug)]
-pub(super) struct Handing {
+pub(super) struct PendingHandover {
     pub(super) to: MemberId,
     pub(super) epoch: Epoch,
     sent_us: u64,
@@ -24,45 +24,45 @@
 }
 
 impl Ownership {
-    /// Starts handovers, repeats those not taken, and forgets those done.
+    /// Starts handovers, resends unconfirmed ones and removes finished ones.
     pub(super) fn hand_over(&mut self, now: Moment, fleet: &Fleet) -> Vec<OwnershipAction> {
-        let me = &self.record.id;
+        let own_id = &self.record.id;
         let table = fleet.table();
-        self.handing.retain(|range, handing| {
+        self.handovers.retain(|range, handover| {
             let row = table.row(*range);
-            row.is_some_and(|row| row.owner.member == *me && row.epoch == handing.epoch)
+            row.is_some_and(|row| row.owner.member == *own_id && row.epoch == handover.epoch)
         });
-        if now.mono_us >= self.until_us || !self.may_take_over(now, RETRY) {
+        if now.mono_us >= self.lease_until_us || !self.can_take_over(now, RETRY_DELAY) {
             return Vec::new();
         }
-        for (range, epoch, to) in self.wanted_handovers(fleet) {
-            let handing = Handing {
+        for (range, epoch, to) in self.due_handovers(fleet) {
+            let handover = PendingHandover {
                 to,
                 epoch,
                 sent_us: 0,
                 taken: false,
             };
-            self.handing.entry(range).or_insert(handing);
+            self.handovers.entry(range).or_insert(handover);
         }
         self.send_handovers(now, fleet)
     }
 
     fn send_handovers(&mut self, now: Moment, fleet: &Fleet) -> Vec<OwnershipAction> {
         let mut actions = Vec::new();
-        let spare = self.successors(fleet);
-        for (range, handing) in &mut self.handing {
-            let gone = !fleet.members().contains_key(&handing.to);
-            if gone && let Some(to) = spare.first() {
-                handing.to = to.clone();
-                handing.taken = false;
-                handing.sent_us = 0;
+        let successors = self.successors(fleet);
+        for (range, handover) in &mut self.handovers {
+            let gone = !fleet.members().contains_key(&handover.to);
+            if gone && let Some(to) = successors.first() {
+                handover.to = to.clone();
+                handover.taken = false;
+                handover.sent_us = 0;
             }
-            let repeat_us = handing.sent_us + micros(HANDOVER_REPEAT);
-            if handing.taken || (handing.sent_us > 0 && now.mono_us < repeat_us) {
+            let resend_us = handover.sent_us + micros(HANDOVER_RESEND_INTERVAL);
+            if handover.taken || (handover.sent_us > 0 && now.mono_us < resend_us) {
                 continue;
             }
-            handing.sent_us = now.mono_us;
-            let to = handing.to.clone();
+            handover.sent_us = now.mono_us;
+            let to = handover.to.clone();
             actions.push(OwnershipAction::Freeze { range: *range, to });
         }
         actions
@@ -80,46 +80,48 @@
         others.iter().map(|member| member.id.clone()).collect()
     }
 
-    fn wanted_handovers(&self, fleet: &Fleet) -> Vec<(RangeId, Epoch, MemberId)> {
+    fn due_handovers(&self, fleet: &Fleet) -> Vec<(RangeId, Epoch, MemberId)> {
         let table = fleet.table();
         let successors = self.successors(fleet);
         let Some(least) = successors.first() else {
             return Vec::new();
         };
         let holder = self.record.holder();
-        let mine = (0u32..)
+        let own_ranges = (0u32..)
             .zip(&table.rows)
             .filter(|(_, row)| row.owner == holder);
-        let mine: Vec<(RangeId, Epoch)> = mine
+        let own_ranges: Vec<(RangeId, Epoch)> = own_ranges
             .map(|(index, row)| (RangeId(index), row.epoch))
             .collect();
         if self.record.leaving {
             let to = successors.iter().cycle();
-            return mine
+            return own_ranges
                 .into_iter()
                 .zip(to)
                 .map(|((r, e), to)| (r, e, to.clone()))
                 .collect();
         }
         let owners = successors.len() + 1;
-        let (part, rest) = (table.rows.len() / owners, table.rows.len() % owners);
-        let most = part + usize::from(rest > 0);
-        if !self.handing.is_empty() || table.owned_by(least) >= part {
+        let (fair_share, remainder) = (table.rows.len() / owners, table.rows.len() % owners);
+        let max_rows = fair_share + usize::from(remainder > 0);
+        if !self.handovers.is_empty() || table.owned_by(least) >= fair_share {
             return Vec::new();
         }
-        let surplus = mine.len().saturating_sub(most);
-        let wanted = part - table.owned_by(least);
-        let first = mine.into_iter().take(surplus.min(wanted));
+        let surplus = own_ranges.len().saturating_sub(max_rows);
+        let wanted = fair_share - table.owned_by(least);
+        let first = own_ranges.into_iter().take(surplus.min(wanted));
         first
             .map(|(range, epoch)| (range, epoch, least.clone()))
             .collect()
     }
 
-    /// A successor has taken what it was told of a range.
-    pub fn handover_taken(&mut self, from: &MemberId, range: RangeId, epoch: Epoch) {
-        let handing = self.handing.get_mut(&range);
-        if let Some(handing) = handing.filter(|one| one.to == *from && one.epoch == epoch) {
-            handing.taken = true;
+    /// Handles a successor's confirmation that it received the state of a range.
+    pub fn on_handover_taken(&mut self, from: &MemberId, range: RangeId, epoch: Epoch) {
+        let handover = self.handovers.get_mut(&range);
+        if let Some(handover) =
+            handover.filter(|handover| handover.to == *from && handover.epoch == epoch)
+        {
+            handover.taken = true;
         }
     }
 }
--- a/src/ownership/mod.rs
+++ b/src/ownership/mod.rs
@@ -1,11 +1,10 @@
-//! This process's lease in the store, and its part in the table of ranges.
+//! The process's lease in the store, and its updates to the range table.
 //!
-//! The lease counts from the moment a renewal was *sent*, on the own monotonic
-//! clock, so it ends here before it ends in the store. Once the store says that
-//! it ran out, the next lease is a new session: rows of the old session pass
-//! to the new one only through the table, and only while nobody else has taken
-//! them. Rows of a member that is gone are taken over by whoever writes the
-//! next table first.
+//! The lease period starts when the request is sent, on the local monotonic clock, so
+//! the lease ends locally before it ends in the store. A lease after an expired one
+//! starts a new session, which gets the rows of the old session through the table,
+//! unless another member has taken them over. The rows of departed members go to other
+//! members with the next table.
 
 mod handover;
 mod plan;
@@ -17,26 +16,27 @@
 use crate::id::{Epoch, MemberId, RangeId};
 use crate::store::{Expect, LeaseId, StoreEntry, StoreError, StoreReply, StoreRequest};
 use crate::time::{Moment, micros};
-use handover::Handing;
+use handover::PendingHandover;
 pub use plan::{Plan, rank};
 
-/// Delay before a call that failed is made again.
-const RETRY: Duration = Duration::from_millis(200);
-/// Members wait this long, times their rank, before they write a table.
-const TURN: Duration = Duration::from_millis(300);
-/// Wait before the first table is written, so that the fleet can assemble.
-const FORMING: Duration = Duration::from_millis(600);
+/// Delay before a failed call is retried.
+const RETRY_DELAY: Duration = Duration::from_millis(200);
+/// Delay before a table write for each member with a lower rank, which avoids
+/// conflicting writes.
+const WRITE_STAGGER: Duration = Duration::from_millis(300);
+/// Delay before the first table is written, so that the other members can register.
+const FIRST_TABLE_DELAY: Duration = Duration::from_millis(600);
 
-/// Names a call to the store, for its reply.
+/// Kind of a store call, which matches it with its reply.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StoreOp {
-    /// Start a lease.
+    /// Grant a lease.
     Grant,
-    /// Write the own record under the lease.
+    /// Write the member record under the lease.
     Register,
-    /// Prolong the lease.
+    /// Renew the lease.
     Renew,
-    /// End the lease.
+    /// Revoke the lease.
     Revoke,
     /// Write the table.
     WriteTable,
@@ -44,28 +44,28 @@
     ReadTable,
 }
 
-/// What ownership asks of the process around it.
+/// An effect that the surrounding process must carry out.
 #[derive(Clone, Debug)]
 pub enum OwnershipAction {
-    /// Make a call to the store.
+    /// Call the store.
     Store {
-        /// Names it.
+        /// Kind of the call.
         op: StoreOp,
-        /// The call.
+        /// The request.
         request: StoreRequest,
     },
     /// Freeze a range and hand it over.
     Freeze {
         /// The range.
         range: RangeId,
-        /// Its successor.
+        /// The successor.
         to: MemberId,
     },
-    /// The table as it is in the store now.
+    /// Apply the current table of the store.
     Table(Table),
-    /// The lease is good until this monotonic reading.
+    /// The lease is valid until this monotonic time, in microseconds.
     LeasedUntil(u64),
-    /// The lease has ended; the process may go.
+    /// The lease has ended; the process may exit.
     Left,
 }
 
@@ -83,49 +83,49 @@
     sent_us: u64,
 }
 
-/// Lease and table, as one process sees them.
+/// State of one process's lease and table updates.
 #[derive(Debug)]
 pub struct Ownership {
     record: MemberRecord,
     lease: Lease,
-    until_us: u64,
+    lease_until_us: u64,
     renew_us: u64,
-    retry_us: u64,
-    call: Option<Call>,
+    lease_retry_us: u64,
+    lease_call: Option<Call>,
     table_call: Option<Call>,
     table_retry_us: u64,
-    table_unsure: bool,
-    writing: Option<Table>,
+    table_needs_read: bool,
+    pending_table: Option<Table>,
     synced_us: Option<u64>,
-    trouble_us: Option<u64>,
-    wanted_since_us: Option<u64>,
-    handing: BTreeMap<RangeId, Handing>,
+    store_failure_us: Option<u64>,
+    change_pending_since_us: Option<u64>,
+    handovers: BTreeMap<RangeId, PendingHandover>,
     released: bool,
 }
 
 impl Ownership {
-    /// Ownership of the process that `record` describes.
+    /// Creates the state for the process that `record` describes.
     pub fn new(record: MemberRecord) -> Ownership {
         Ownership {
             record,
             lease: Lease::None,
-            until_us: 0,
+            lease_until_us: 0,
             renew_us: 0,
-            retry_us: 0,
-            call: None,
+            lease_retry_us: 0,
+            lease_call: None,
             table_call: None,
             table_retry_us: 0,
-            table_unsure: false,
-            writing: None,
+            table_needs_read: false,
+            pending_table: None,
             synced_us: None,
-            trouble_us: None,
-            wanted_since_us: None,
-            handing: BTreeMap::new(),
+            store_failure_us: None,
+            change_pending_since_us: None,
+            handovers: BTreeMap::new(),
             released: false,
         }
     }
 
-    /// The lease that this process holds, if its record is in the store.
+    /// The lease holder, if the process is registered.
     pub fn holder(&self) -> Option<Holder> {
         match self.lease {
             Lease::Registered { .. } => Some(self.record.holder()),
@@ -133,38 +133,38 @@
         }
     }
 
-    /// Until when the lease is good, on the own monotonic clock.
-    pub fn leased_until_us(&self) -> u64 {
-        self.until_us
+    /// End of the lease on the local monotonic clock.
+    pub fn lease_until_us(&self) -> u64 {
+        self.lease_until_us
     }
 
-    /// Announces that this process leaves and hands its ranges over.
+    /// Starts leaving: announces it in the store and hands over all ranges.
     pub fn leave(&mut self) {
         self.record.leaving = true;
         self.renew_us = 0;
     }
 
-    /// Whether the table still names this process.
+    /// Whether the table assigns any range to this process.
     pub fn owns_rows(&self, fleet: &Fleet) -> bool {
         fleet.table().owned_by(&self.record.id) > 0
     }
 
-    /// Ends the lease; the process has nothing left to do.
+    /// Requests the end of the lease.
     pub fn release(&mut self) {
         self.released = true;
     }
 
-    /// The store was read; what it holds is in `fleet`.
-    pub fn synced(&mut self, now: Moment) {
+    /// Records that the store was read and `fleet` reflects it.
+    pub fn on_store_synced(&mut self, now: Moment) {
         self.synced_us.get_or_insert(now.mono_us);
     }
 
-    /// The store did not answer someone in this process.
-    pub fn store_trouble(&mut self, now: Moment) {
-        self.trouble_us = Some(now.mono_us);
+    /// Records that the store did not answer a call of this process.
+    pub fn on_store_failure(&mut self, now: Moment) {
+        self.store_failure_us = Some(now.mono_us);
     }
 
-    /// Time has passed, or the fleet has changed.
+    /// Makes the calls and handovers that are due.
     pub fn tick(&mut self, now: Moment, fleet: &Fleet) -> Vec<OwnershipAction> {
         let lease = Duration::from_millis(fleet.config().ownership.lease_ms);
         let mut actions = Vec::new();
@@ -175,7 +175,7 @@
     }
 
     fn next_lease_call(&mut self, now: Moment, ttl: Duration) -> Option<OwnershipAction> {
-        if self.call.is_some() || now.mono_us < self.retry_us {
+        if self.lease_call.is_some() || now.mono_us < self.lease_retry_us {
             return None;
         }
         let (op, request) = match self.lease {
@@ -190,7 +190,7 @@
                 (StoreOp::Grant, StoreRequest::Grant { ttl_ms })
             }
             Lease::Granted { lease } => (StoreOp::Register, self.register(lease, Expect::Absent)),
-            Lease::Registered { lease, revision } if self.unannounced() => {
+            Lease::Registered { lease, revision } if self.must_announce_leave() => {
                 let expect = Expect::Revision(revision);
                 (StoreOp::Register, self.register(lease, expect))
             }
@@ -200,12 +200,12 @@
             _ => return None,
         };
         let sent_us = now.mono_us;
-        self.call = Some(Call { op, sent_us });
+        self.lease_call = Some(Call { op, sent_us });
         Some(OwnershipAction::Store { op, request })
     }
 
-    /// Whether the store does not know yet that this process leaves.
-    fn unannounced(&self) -> bool {
+    /// Whether the member record must be rewritten as leaving.
+    fn must_announce_leave(&self) -> bool {
         self.record.leaving && self.renew_us == 0
     }
 
@@ -219,7 +219,7 @@
         }
     }
 
-    /// The store answered a call, or did not.
+    /// Handles the reply to a store call.
     pub fn on_store(
         &mut self,
         now: Moment,
@@ -228,7 +228,7 @@
         reply: Result<StoreReply, StoreError>,
     ) -> Vec<OwnershipAction> {
         if reply.is_err() || reply == Ok(StoreReply::RateLimited) {
-            self.trouble_us = Some(now.mono_us);
+            self.store_failure_us = Some(now.mono_us);
         }
         match op {
             StoreOp::WriteTable | StoreOp::ReadTable => self.on_table(now, reply),
@@ -243,44 +243,44 @@
         op: StoreOp,
         reply: Result<StoreReply, StoreError>,
     ) -> Vec<OwnershipAction> {
-        let Some(call) = self.call.take().filter(|call| call.op == op) else {
+        let Some(call) = self.lease_call.take().filter(|call| call.op == op) else {
             return Vec::new();
         };
         let ttl = fleet.config().ownership.lease();
         match (op, reply) {
             (StoreOp::Grant, Ok(StoreReply::Lease { lease })) => {
                 self.lease = Lease::Granted { lease };
-                self.leased(call.sent_us, ttl)
+                self.extend_lease(call.sent_us, ttl)
             }
-            (StoreOp::Renew, Ok(StoreReply::Lease { .. })) => self.leased(call.sent_us, ttl),
+            (StoreOp::Renew, Ok(StoreReply::Lease { .. })) => self.extend_lease(call.sent_us, ttl),
             (StoreOp::Register, Ok(StoreReply::Written { revision })) => {
-                self.registered(now, revision, ttl)
+                self.on_registered(now, revision, ttl)
             }
             (StoreOp::Register, Ok(StoreReply::Conflict { current })) => {
-                self.register_conflict(now, current, ttl)
+                self.on_register_conflict(now, current, ttl)
             }
             (StoreOp::Revoke, Ok(_)) => {
                 self.lease = Lease::Revoked;
                 vec![OwnershipAction::Left]
             }
             (_, Ok(StoreReply::LeaseGone)) => {
-                self.lapse(now);
+                self.on_lease_expired(now);
                 Vec::new()
             }
             _ => {
-                self.retry_us = now.after(RETRY);
+                self.lease_retry_us = now.after(RETRY_DELAY);
                 Vec::new()
             }
         }
     }
 
-    fn leased(&mut self, sent_us: u64, ttl: Duration) -> Vec<OwnershipAction> {
-        self.until_us = sent_us + micros(ttl);
+    fn extend_lease(&mut self, sent_us: u64, ttl: Duration) -> Vec<OwnershipAction> {
+        self.lease_until_us = sent_us + micros(ttl);
         self.renew_us = sent_us + micros(ttl) / 2;
-        vec![OwnershipAction::LeasedUntil(self.until_us)]
+        vec![OwnershipAction::LeasedUntil(self.lease_until_us)]
     }
 
-    fn registered(&mut self, now: Moment, revision: u64, ttl: Duration) -> Vec<OwnershipAction> {
+    fn on_registered(&mut self, now: Moment, revision: u64, ttl: Duration) -> Vec<OwnershipAction> {
         let (Lease::Granted { lease } | Lease::Registered { lease, .. }) = self.lease else {
             return Vec::new();
         };
@@ -289,67 +289,67 @@
         Vec::new()
     }
 
-    /// The own record is there already, or that of a run before this one.
-    fn register_conflict(
+    /// Handles a record that already exists: that of this process or of an earlier run.
+    fn on_register_conflict(
         &mut self,
         now: Moment,
         current: Option<StoreEntry>,
         ttl: Duration,
     ) -> Vec<OwnershipAction> {
         let parsed = current.and_then(|entry| Some((parse(&entry)?, entry.revision)));
-        let mine = parsed.filter(|(record, _): &(MemberRecord, u64)| {
+        let own_record = parsed.filter(|(record, _): &(MemberRecord, u64)| {
             record.id == self.record.id && record.session == self.record.session
         });
-        match mine {
+        match own_record {
             Some((record, revision)) if record == self.record => {
-                self.registered(now, revision, ttl)
+                self.on_registered(now, revision, ttl)
             }
             Some((_, revision)) => {
-                self.registered(now, revision, ttl);
+                self.on_registered(now, revision, ttl);
                 self.renew_us = 0;
                 Vec::new()
             }
-            None if now.mono_us >= self.until_us => {
+            None if now.mono_us >= self.lease_until_us => {
                 self.lease = Lease::None;
                 Vec::new()
             }
             None => {
-                self.retry_us = now.after(RETRY);
+                self.lease_retry_us = now.after(RETRY_DELAY);
                 Vec::new()
             }
         }
     }
 
-    /// The store says that the lease ran out.
-    fn lapse(&mut self, now: Moment) {
+    /// Handles the expiry of the lease in the store; the next lease is a new session.
+    fn on_lease_expired(&mut self, now: Moment) {
         self.lease = Lease::None;
-        self.until_us = 0;
+        self.lease_until_us = 0;
         self.record.session += 1;
-        self.trouble_us = Some(now.mono_us);
+        self.store_failure_us = Some(now.mono_us);
     }
 
-    /// Whether vanished members may be counted as gone: right after trouble
-    /// with the store they may only not have come back yet.
-    fn may_take_over(&self, now: Moment, ttl: Duration) -> bool {
-        self.trouble_us
+    /// Whether members without a record count as departed. After a store failure, they
+    /// get `ttl` to register again.
+    fn can_take_over(&self, now: Moment, ttl: Duration) -> bool {
+        self.store_failure_us
             .is_none_or(|at| now.mono_us >= at + micros(ttl))
     }
 
     fn next_table_call(&mut self, now: Moment, fleet: &Fleet) -> Option<OwnershipAction> {
         let idle = self.table_call.is_none() && now.mono_us >= self.table_retry_us;
-        let leased = now.mono_us < self.until_us && self.holder().is_some();
+        let leased = now.mono_us < self.lease_until_us && self.holder().is_some();
         if !idle || !leased || self.synced_us.is_none() {
             return None;
         }
-        if self.table_unsure {
+        if self.table_needs_read {
             return Some(self.read_table(now));
         }
         let Some(next) = self.plan(now, fleet) else {
-            self.wanted_since_us = None;
+            self.change_pending_since_us = None;
             return None;
         };
-        let since_us = *self.wanted_since_us.get_or_insert(now.mono_us);
-        if now.mono_us < since_us + micros(self.turn(fleet)) {
+        let since_us = *self.change_pending_since_us.get_or_insert(now.mono_us);
+        if now.mono_us < since_us + micros(self.write_delay(fleet)) {
             return None;
         }
         Some(self.write_table(now, fleet.table(), &next))
@@ -357,29 +357,29 @@
 
     fn plan(&self, now: Moment, fleet: &Fleet) -> Option<Table> {
         let ownership = &fleet.config().ownership;
-        let handed: BTreeMap<RangeId, (Epoch, MemberId)> = self
-            .handing
+        let handed_over: BTreeMap<RangeId, (Epoch, MemberId)> = self
+            .handovers
             .iter()
-            .filter(|(_, handing)| handing.taken)
-            .map(|(range, handing)| (*range, (handing.epoch, handing.to.clone())))
+            .filter(|(_, handover)| handover.taken)
+            .map(|(range, handover)| (*range, (handover.epoch, handover.to.clone())))
             .collect();
         let plan = Plan {
             table: fleet.table(),
             ranges: ownership.ranges,
             members: fleet.members(),
             max_owners: ownership.max_owners,
-            handed: &handed,
-            may_take_over: self.may_take_over(now, ownership.lease()),
+            handed_over: &handed_over,
+            can_take_over: self.can_take_over(now, ownership.lease()),
             self_placement: ownership.self_placement,
             departure_ms: now.wall_ms + 2 * ownership.skew_ms,
         };
         plan.next()
     }
 
-    /// How long this member leaves the next table to others.
-    fn turn(&self, fleet: &Fleet) -> Duration {
+    /// How long this member waits for another one to write the next table.
+    fn write_delay(&self, fleet: &Fleet) -> Duration {
         let table = fleet.table();
-        if self.handing.values().any(|handing| handing.taken) {
+        if self.handovers.values().any(|handover| handover.taken) {
             return Duration::ZERO;
         }
         let owned = table
@@ -390,18 +390,18 @@
             return Duration::ZERO;
         }
         let seed = table.revision;
-        let mine = rank(&self.record.id, seed);
-        let before = fleet
+        let own_rank = rank(&self.record.id, seed);
+        let earlier = fleet
             .members()
             .keys()
-            .filter(|id| rank(id, seed) < mine)
+            .filter(|id| rank(id, seed) < own_rank)
             .count() as u32;
-        let forming = if table.rows.is_empty() {
-            FORMING
+        let first_delay = if table.rows.is_empty() {
+            FIRST_TABLE_DELAY
         } else {
             Duration::ZERO
         };
-        forming + TURN * before.min(10)
+        first_delay + WRITE_STAGGER * earlier.min(10)
     }
 
     fn write_table(&mut self, now: Moment, present: &Table, next: &Table) -> OwnershipAction {
@@ -413,7 +413,7 @@
             revision => Expect::Revision(revision),
         };
         let value = serde_json::to_vec(next).unwrap_or_default();
-        self.writing = Some(next.clone());
+        self.pending_table = Some(next.clone());
         let request = StoreRequest::Put {
             key: TABLE_KEY.to_string(),
             value: value.into(),
@@ -438,8 +438,8 @@
         reply: Result<StoreReply, StoreError>,
     ) -> Vec<OwnershipAction> {
         self.table_call = None;
-        self.wanted_since_us = None;
-        let written = self.writing.take();
+        self.change_pending_since_us = None;
+        let written = self.pending_table.take();
         let current = match reply {
             Ok(StoreReply::Written { revision }) => {
                 let table = written.map(|table| Table { revision, ..table });
@@ -448,12 +448,12 @@
             Ok(StoreReply::Conflict { current }) => current,
             Ok(StoreReply::Entries { entries, .. }) => entries.into_iter().next(),
             _ => {
-                self.table_unsure = true;
-                self.table_retry_us = now.after(RETRY);
+                self.table_needs_read = true;
+                self.table_retry_us = now.after(RETRY_DELAY);
                 return Vec::new();
             }
         };
-        self.table_unsure = false;
+        self.table_needs_read = false;
         let table = current.and_then(|entry| parse_table(&entry));
         table.into_iter().map(OwnershipAction::Table).collect()
     }
@@ -467,7 +467,7 @@
     serde_json::from_slice(&entry.value).ok()
 }
 
-/// Reads the table from its key; its revision is the store's.
+/// Parses the table; its revision is that of the store entry.
 pub fn parse_table(entry: &StoreEntry) -> Option<Table> {
     let mut table: Table = parse(entry)?;
     table.revision = entry.revision;
--- a/src/ownership/plan.rs
+++ b/src/ownership/plan.rs
@@ -1,8 +1,8 @@
-//! Who should own which range: the next table, worked out from the present one.
+//! Computes the next range table from the current one.
 //!
-//! Any member may write the next table; the store's compare-and-swap lets one
-//! of them win. The plan is a pure function, so that two members with the same
-//! view want the same table.
+//! Any member may write the table; compare-and-swap in the store decides between
+//! concurrent writes. The computation is a pure function, so that members with the same
+//! view compute the same table.
 
 use std::collections::BTreeMap;
 
@@ -11,44 +11,44 @@
 use crate::fleet::{Holder, MemberRecord, Passage, Row, Table};
 use crate::id::{Epoch, MemberId, RangeId};
 
-/// What a plan is made from.
+/// Inputs of the computation.
 #[derive(Debug)]
 pub struct Plan<'a> {
-    /// The present table.
+    /// The current table.
     pub table: &'a Table,
     /// Number of ranges.
     pub ranges: u32,
-    /// The members whose leases hold.
+    /// Members with a valid lease.
     pub members: &'a BTreeMap<MemberId, MemberRecord>,
-    /// Most members that own ranges.
+    /// Maximum number of members that own ranges.
     pub max_owners: usize,
-    /// Ranges whose handover to this member was taken.
-    pub handed: &'a BTreeMap<RangeId, (Epoch, MemberId)>,
-    /// Whether vanished members may be counted as gone.
-    pub may_take_over: bool,
-    /// Whether owners use their own targets.
+    /// Ranges whose handover was confirmed, with their epoch and successor.
+    pub handed_over: &'a BTreeMap<RangeId, (Epoch, MemberId)>,
+    /// Whether members without a record count as departed.
+    pub can_take_over: bool,
+    /// Whether owners may place tasks on their own targets.
     pub self_placement: bool,
-    /// Wall clock by which a member that is gone started its last task.
+    /// Upper bound of the wall-clock time at which a departed member started a task.
     pub departure_ms: u64,
 }
 
 impl Plan<'_> {
-    /// The next table, if it differs from the present one.
+    /// The next table, if it differs from the current one.
     pub fn next(&self) -> Option<Table> {
         let mut next = self.table.clone();
         if next.rows.is_empty() {
-            next.rows = self.first_rows()?;
+            next.rows = self.initial_rows()?;
         }
         self.update_gates(&mut next);
         self.hand_over(&mut next);
         self.resume(&mut next);
-        if self.may_take_over {
+        if self.can_take_over {
             self.take_over(&mut next);
         }
         (next != *self.table).then_some(next)
     }
 
-    /// Members that may own ranges, in a fixed order.
+    /// Members that may own ranges, ordered by rank.
     pub fn owners(&self) -> Vec<&MemberRecord> {
         let mut owners: Vec<&MemberRecord> = self
             .members
@@ -60,7 +60,7 @@
         owners
     }
 
-    fn first_rows(&self) -> Option<Vec<Row>> {
+    fn initial_rows(&self) -> Option<Vec<Row>> {
         let owners = self.owners();
         let count = owners.len();
         let row = |index: usize| Row {
@@ -74,14 +74,14 @@
     }
 
     fn update_gates(&self, next: &mut Table) {
-        if self.may_take_over {
-            let (here, gone): (Vec<MemberId>, Vec<MemberId>) = next
+        if self.can_take_over {
+            let (present, gone): (Vec<MemberId>, Vec<MemberId>) = next
                 .gates
                 .drain(..)
                 .partition(|gate| self.members.contains_key(gate));
-            next.gates = here;
+            next.gates = present;
             for gate in &gone {
-                self.note_departure(next, gate);
+                self.record_departure(next, gate);
             }
         }
         for member in self.members.values().filter(|member| !member.leaving) {
@@ -91,24 +91,29 @@
         }
     }
 
-    /// Whatever `gone` had started is lost. An owner never runs tasks of its own
-    /// ranges, so for those only what it ran before they were its own.
-    fn note_departure(&self, next: &mut Table, gone: &MemberId) {
+    /// Raises the departure times of rows, as the tasks that `gone` started cannot be
+    /// recovered. Without self-placement, `gone` ran tasks of its own ranges only
+    /// before it owned them.
+    fn record_departure(&self, next: &mut Table, gone: &MemberId) {
         for row in &mut next.rows {
-            let own = row.owner.member == *gone && !self.self_placement;
-            let lost_ms = if own { row.since_ms } else { self.departure_ms };
+            let is_own = row.owner.member == *gone && !self.self_placement;
+            let lost_ms = if is_own {
+                row.since_ms
+            } else {
+                self.departure_ms
+            };
             row.departure_ms = row.departure_ms.max(lost_ms);
         }
     }
 
     fn hand_over(&self, next: &mut Table) {
-        for (range, (epoch, to)) in self.handed {
+        for (range, (epoch, to)) in self.handed_over {
             let Some(to) = self.members.get(to).filter(|to| !to.leaving) else {
                 continue;
             };
             let row = next.rows.get_mut(range.0 as usize);
             if let Some(row) = row.filter(|row| row.epoch == *epoch) {
-                row.pass(to.holder(), Passage::HandedOver, self.departure_ms);
+                row.transfer(to.holder(), Passage::HandedOver, self.departure_ms);
             }
         }
     }
@@ -119,7 +124,7 @@
             let renewed = member.filter(|member| member.session > row.owner.session);
             if let Some(member) = renewed {
                 let since_ms = row.since_ms;
-                row.pass(member.holder(), Passage::Resumed, since_ms);
+                row.transfer(member.holder(), Passage::Resumed, since_ms);
             }
         }
     }
@@ -139,7 +144,7 @@
                 return;
             };
             counts[index] += 1;
-            row.pass(
+            row.transfer(
                 owners[index].holder(),
                 Passage::TakenOver,
                 self.departure_ms,
@@ -149,7 +154,7 @@
 }
 
 impl Row {
-    fn pass(&mut self, owner: Holder, passage: Passage, since_ms: u64) {
+    fn transfer(&mut self, owner: Holder, passage: Passage, since_ms: u64) {
         self.owner = owner;
         self.epoch = self.epoch.next();
         self.passage = passage;
@@ -157,7 +162,7 @@
     }
 }
 
-/// A number for `member` that all members work out alike.
+/// Rank of `member` by the hash of its name, equal on all members.
 pub fn rank(member: &MemberId, seed: u64) -> u64 {
     xxh3_64_with_seed(member.name.as_bytes(), seed)
 }
--- a/src/placement.rs
+++ b/src/placement.rs
@@ -1,11 +1,10 @@
-//! Which target a task goes to.
+//! Selects a target for a task.
 //!
-//! Loads arrive late, on frames that carry work, and several owners place at
-//! once. Picking the emptiest target would make them all pick the same one
-//! between two samples; so a target with free slots is drawn at random, with
-//! odds that grow with its free slots and shrink with its slowness. Where none
-//! is free, the least expected wait wins. Work just sent counts until a later
-//! sample must contain it.
+//! Load samples arrive with a delay, and several owners place tasks concurrently. A
+//! target with free slots is therefore drawn at random, weighted by its free slots and
+//! its speed, so that owners don't all select the same one. If no slot is free, the
+//! target with the shortest expected wait is selected. Tasks sent after the latest
+//! sample are added to the load.
 
 use std::collections::{HashMap, VecDeque};
 use std::sync::Arc;
@@ -20,52 +19,52 @@
 use crate::load::{Known, LoadBook, LoadSample};
 use crate::time::{Moment, micros};
 
-/// A sample may miss what was sent less than this before it came.
+/// A sample may not include tasks sent within this time before its arrival.
 const SAMPLE_LAG: Duration = Duration::from_millis(4);
-/// Age from which a sample is thought to have improved.
-const SAMPLE_STALE_RUNS: u64 = 4;
-/// Tasks that are not urgent and may wait at a target.
-const LATE_QUEUE: f64 = 1.0;
-/// Power to which free slots count.
-const FREE_SLOT_POWER: i32 = 2;
-/// Mean run time of a target that nothing is known of.
-const UNKNOWN_MEAN_US: u64 = 100_000;
-
-/// What a task needs.
+/// Sample age, in mean run times, after which tasks are assumed to finish.
+const STALE_AFTER_RUNS: u64 = 4;
+/// Queue length at a target below which non-urgent tasks are still sent.
+const NON_URGENT_TARGET_QUEUE: f64 = 1.0;
+/// Exponent of free slots and of slowness in the selection weight.
+const FREE_SLOT_EXPONENT: i32 = 2;
+/// Mean run time assumed for a target without samples.
+const DEFAULT_MEAN_RUN_US: u64 = 100_000;
+
+/// Requirements of a task.
 #[derive(Clone, Copy, Debug)]
-pub struct Want<'a> {
-    /// Service of the target.
+pub struct PlacementRequest<'a> {
+    /// Required service.
     pub service: &'a str,
-    /// Accelerators of the target's worker.
+    /// Required accelerators of the target's worker.
     pub accelerators: u32,
-    /// Whether it may use the slots that are kept for urgent tasks.
+    /// Whether it may use the slots reserved for urgent tasks.
     pub urgent: bool,
-    /// Targets that are out of the question.
+    /// Gates to exclude.
     pub avoid: &'a [MemberId],
 }
 
-/// Where a task goes, and why.
+/// Result of a placement.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Choice {
-    /// To this gate.
+    /// Send the task to a gate.
     Gate {
         /// The gate.
         gate: MemberId,
-        /// The load that it was thought to have.
+        /// Its estimated load.
         load: f64,
-        /// Number of gates that were weighed.
+        /// Number of gates considered.
         candidates: usize,
     },
-    /// Every target looks full; wait.
+    /// All eligible targets appear full.
     Busy,
-    /// No target takes it now.
-    Nowhere,
+    /// No target is eligible now.
+    NoTarget,
 }
 
 #[derive(Debug, Default)]
-struct Sent {
-    /// When tasks were sent that no sample contains yet.
-    unseen_us: VecDeque<u64>,
+struct SentTasks {
+    /// Send times of tasks that no sample includes yet.
+    unsampled_us: VecDeque<u64>,
     /// Tasks that have not ended.
     open: u32,
 }
@@ -75,16 +74,16 @@
     until_us: u64,
 }
 
-/// Chooses targets.
+/// Selects targets from load samples, sent tasks and ejections.
 #[derive(Debug)]
 pub struct Placer {
-    me: MemberId,
+    id: MemberId,
     failure_domain: String,
     config: Arc<Config>,
-    book: LoadBook,
-    sent: HashMap<MemberId, Sent>,
+    loads: LoadBook,
+    sent: HashMap<MemberId, SentTasks>,
     ejected: HashMap<MemberId, Ejection>,
-    turn: usize,
+    round_robin_index: usize,
     rng: StdRng,
 }
 
@@ -97,15 +96,15 @@
 }
 
 impl Candidate<'_> {
-    fn free(&self) -> f64 {
+    fn free_slots(&self) -> f64 {
         (self.slots - self.load).max(0.0)
     }
 
-    fn odds(&self) -> f64 {
-        self.free().powi(FREE_SLOT_POWER) / self.slowness.max(0.2).powi(FREE_SLOT_POWER)
+    fn weight(&self) -> f64 {
+        self.free_slots().powi(FREE_SLOT_EXPONENT) / self.slowness.max(0.2).powi(FREE_SLOT_EXPONENT)
     }
 
-    fn wait_us(&self) -> f64 {
+    fn expected_wait_us(&self) -> f64 {
         let ahead = self.load + 1.0 - self.slots;
         ahead.max(0.0) * self.mean_us as f64 / self.slots
     }
@@ -116,21 +115,21 @@
 }
 
 impl Placer {
-    /// A placer for the process `me` in `failure_domain`.
-    pub fn new(me: MemberId, failure_domain: &str, config: Arc<Config>, seed: u64) -> Placer {
+    /// Creates a placer for the process `id` in `failure_domain`.
+    pub fn new(id: MemberId, failure_domain: &str, config: Arc<Config>, seed: u64) -> Placer {
         Placer {
-            me,
+            id,
             failure_domain: failure_domain.to_string(),
             config,
-            book: LoadBook::default(),
+            loads: LoadBook::default(),
             sent: HashMap::new(),
             ejected: HashMap::new(),
-            turn: 0,
+            round_robin_index: 0,
             rng: StdRng::seed_from_u64(seed),
         }
     }
 
-    /// Puts a configuration in force.
+    /// Applies a configuration.
     pub fn configure(&mut self, config: Arc<Config>) {
         self.config = config;
     }
@@ -139,139 +138,144 @@
         &self.config.policy
     }
 
-    /// Takes in samples.
-    pub fn observe(&mut self, now: Moment, samples: &[LoadSample]) {
-        self.book.merge(samples, now.mono_us);
+    /// Merges load samples and updates ejections.
+    pub fn merge_samples(&mut self, now: Moment, samples: &[LoadSample]) {
+        self.loads.merge(samples, now.mono_us);
         for sample in samples {
-            self.forget_seen(&sample.gate);
-            self.judge(now, sample);
+            self.drop_sampled(&sample.gate);
+            self.update_ejection(now, sample);
         }
     }
 
-    fn forget_seen(&mut self, gate: &MemberId) {
-        let (Some(known), Some(sent)) = (self.book.get(gate), self.sent.get_mut(gate)) else {
+    fn drop_sampled(&mut self, gate: &MemberId) {
+        let (Some(known), Some(sent)) = (self.loads.get(gate), self.sent.get_mut(gate)) else {
             return;
         };
-        let seen_us = known.at_us.saturating_sub(micros(SAMPLE_LAG));
-        sent.unseen_us.retain(|at| *at > seen_us);
+        let sampled_us = known.at_us.saturating_sub(micros(SAMPLE_LAG));
+        sent.unsampled_us.retain(|at| *at > sampled_us);
     }
 
-    fn judge(&mut self, now: Moment, sample: &LoadSample) {
+    fn update_ejection(&mut self, now: Moment, sample: &LoadSample) {
         let failing = sample.failed_percent >= self.policy().eject_failures_percent;
         if !failing {
             self.ejected.remove(&sample.gate);
             return;
         }
-        let span = Duration::from_millis(self.policy().eject_ms);
-        let until_us = now.after(span);
+        let duration = Duration::from_millis(self.policy().eject_ms);
+        let until_us = now.after(duration);
         let gate = sample.gate.clone();
         self.ejected.entry(gate).or_insert(Ejection { until_us });
     }
 
-    /// Samples for the next frame to `peer`.
+    /// Load samples to attach to the next frame to `peer`.
     pub fn samples(&mut self, peer: &MemberId) -> Vec<LoadSample> {
-        self.book.for_frame(peer)
+        self.loads.for_frame(peer)
     }
 
-    /// Targets that are ejected now.
-    pub fn ejected(&self) -> impl Iterator<Item = &MemberId> {
+    /// Gates of ejected targets.
+    pub fn ejected_gates(&self) -> impl Iterator<Item = &MemberId> {
         self.ejected.keys()
     }
 
-    /// What is known of the load of `gate`.
-    pub fn known(&self, gate: &MemberId) -> Option<&Known> {
-        self.book.get(gate)
+    /// Latest known load of `gate`.
+    pub fn load_of(&self, gate: &MemberId) -> Option<&Known> {
+        self.loads.get(gate)
     }
 
-    /// A task was sent to `gate`; to an ejected one it is a trial, and the next
-    /// trial is a while off.
-    pub fn sent(&mut self, now: Moment, gate: &MemberId) {
+    /// Records that a task was sent to `gate`. A task sent to an ejected gate is a
+    /// trial and postpones the next one.
+    pub fn record_sent(&mut self, now: Moment, gate: &MemberId) {
         let next_trial_us = now.after(Duration::from_millis(self.policy().eject_ms));
         if let Some(ejection) = self.ejected.get_mut(gate) {
             ejection.until_us = ejection.until_us.max(next_trial_us);
         }
         let sent = self.sent.entry(gate.clone()).or_default();
-        sent.unseen_us.push_back(now.mono_us);
+        sent.unsampled_us.push_back(now.mono_us);
         sent.open += 1;
     }
 
-    /// A task that was sent to `gate` is no longer there.
-    pub fn ended(&mut self, gate: &MemberId) {
+    /// Records that a task sent to `gate` is no longer there.
+    pub fn record_ended(&mut self, gate: &MemberId) {
         if let Some(sent) = self.sent.get_mut(gate) {
             sent.open = sent.open.saturating_sub(1);
         }
     }
 
-    /// Forgets a gate that is gone.
-    pub fn forget(&mut self, gate: &MemberId) {
-        self.book.forget(gate);
+    /// Removes a departed gate.
+    pub fn remove_gate(&mut self, gate: &MemberId) {
+        self.loads.forget(gate);
         self.sent.remove(gate);
         self.ejected.remove(gate);
     }
 
-    /// Whether any target of the fleet could ever run this.
-    pub fn could_run(&self, fleet: &Fleet, want: &Want<'_>) -> bool {
+    /// Whether the fleet has a target that meets the requirements, regardless of load.
+    pub fn can_ever_run(&self, fleet: &Fleet, request: &PlacementRequest<'_>) -> bool {
         fleet
-            .gates(want.service)
-            .any(|record| record.accelerators >= want.accelerators)
+            .gates(request.service)
+            .any(|record| record.accelerators >= request.accelerators)
     }
 
-    /// Chooses a target.
-    pub fn choose(&mut self, now: Moment, fleet: &Fleet, want: &Want<'_>) -> Choice {
-        let ejected = self.ejected_in_force(now, fleet, want.service);
-        let fit: Vec<Candidate<'_>> = fleet
-            .gates(want.service)
-            .filter(|record| self.takes(fleet, record, want))
+    /// Selects a target.
+    pub fn choose(&mut self, now: Moment, fleet: &Fleet, request: &PlacementRequest<'_>) -> Choice {
+        let ejected = self.excluded_gates(now, fleet, request.service);
+        let candidates: Vec<Candidate<'_>> = fleet
+            .gates(request.service)
+            .filter(|record| self.is_eligible(fleet, record, request))
             .filter(|record| !ejected.contains(&record.id))
-            .map(|record| self.candidate(now, record, want.urgent))
+            .map(|record| self.candidate(now, record, request.urgent))
             .collect();
-        let fit = self.nearest(fleet, fit);
-        if fit.is_empty() {
-            return Choice::Nowhere;
+        let candidates = self.prefer_own_region(fleet, candidates);
+        if candidates.is_empty() {
+            return Choice::NoTarget;
         }
         match self.policy().placement {
-            Placement::Random => self.any(&fit),
-            Placement::RoundRobin => self.next_in_turn(&fit),
-            Placement::LeastFinish => self.least_finish(&fit, want.urgent),
+            Placement::Random => self.choose_random(&candidates),
+            Placement::RoundRobin => self.choose_round_robin(&candidates),
+            Placement::LeastFinish => self.choose_least_finish(&candidates, request.urgent),
         }
     }
 
-    fn takes(&self, fleet: &Fleet, record: &MemberRecord, want: &Want<'_>) -> bool {
-        let own = record.id == self.me && !self.config.ownership.self_placement;
-        let known = self.book.get(&record.id);
-        let refuses = known.is_some_and(|known| known.sample.leaving);
-        let fits = record.accelerators >= want.accelerators;
-        let leaving = record.leaving || refuses || fleet.bars(record);
-        fits && !own && !leaving && !want.avoid.contains(&record.id)
+    fn is_eligible(
+        &self,
+        fleet: &Fleet,
+        record: &MemberRecord,
+        request: &PlacementRequest<'_>,
+    ) -> bool {
+        let is_own = record.id == self.id && !self.config.ownership.self_placement;
+        let known = self.loads.get(&record.id);
+        let sampled_leaving = known.is_some_and(|known| known.sample.leaving);
+        let fits = record.accelerators >= request.accelerators;
+        let leaving = record.leaving || sampled_leaving || fleet.bars(record);
+        fits && !is_own && !leaving && !request.avoid.contains(&record.id)
     }
 
-    /// Ejected targets that get no task now; after the time of ejection a
-    /// target gets one task at a time, as a trial.
-    fn ejected_in_force(&self, now: Moment, fleet: &Fleet, service: &str) -> Vec<MemberId> {
+    /// Ejected gates that receive no task now. After the ejection time, a gate receives
+    /// one trial task at a time.
+    fn excluded_gates(&self, now: Moment, fleet: &Fleet, service: &str) -> Vec<MemberId> {
         let total = fleet.gates(service).count();
         let cap = total * self.policy().eject_cap_percent as usize / 100;
         let mut ejected: Vec<(&MemberId, &Ejection)> = self.ejected.iter().collect();
         ejected.sort_by_key(|(gate, ejection)| (ejection.until_us, (*gate).clone()));
-        let barred = ejected.into_iter().take(cap);
-        let on_trial = |gate: &MemberId| self.sent.get(gate).is_none_or(|sent| sent.open == 0);
-        barred
-            .filter(|(gate, ejection)| ejection.until_us > now.mono_us || !on_trial(gate))
+        let capped = ejected.into_iter().take(cap);
+        let can_try = |gate: &MemberId| self.sent.get(gate).is_none_or(|sent| sent.open == 0);
+        capped
+            .filter(|(gate, ejection)| ejection.until_us > now.mono_us || !can_try(gate))
             .map(|(gate, _)| gate.clone())
             .collect()
     }
 
     fn candidate<'f>(&self, now: Moment, record: &'f MemberRecord, urgent: bool) -> Candidate<'f> {
         let slots = f64::from(self.usable_slots(record.slots, urgent));
-        let unseen = self
+        let unsampled = self
             .sent
             .get(&record.id)
-            .map_or(0, |sent| sent.unseen_us.len());
-        let Some(known) = self.book.get(&record.id) else {
+            .map_or(0, |sent| sent.unsampled_us.len());
+        let Some(known) = self.loads.get(&record.id) else {
             return Candidate {
                 record,
                 slots,
-                load: unseen as f64,
-                mean_us: UNKNOWN_MEAN_US,
+                load: unsampled as f64,
+                mean_us: DEFAULT_MEAN_RUN_US,
                 slowness: 1.0,
             };
         };
@@ -279,22 +283,22 @@
         Candidate {
             record,
             slots,
-            load: believed_load(now, known, record.slots, urgent) + unseen as f64,
+            load: estimated_load(now, known, record.slots, urgent) + unsampled as f64,
             mean_us: sample.mean_run_us.max(1),
             slowness: f64::from(sample.slowness_percent) / 100.0,
         }
     }
 
-    /// Tasks that may wait at a target before this owner keeps one back: few of
-    /// those that are not urgent, since what waits here can still go elsewhere.
-    fn queue_ahead(&self, urgent: bool) -> f64 {
+    /// Queue length at which a target counts as full. It is short for non-urgent tasks,
+    /// which can still go elsewhere while they wait at the owner.
+    fn max_target_queue(&self, urgent: bool) -> f64 {
         match urgent {
             true => self.policy().target_queue as f64 / 2.0,
-            false => LATE_QUEUE,
+            false => NON_URGENT_TARGET_QUEUE,
         }
     }
 
-    /// Slots of a target that a task may use; never none.
+    /// Slots of a target that a task may use; at least one.
     fn usable_slots(&self, slots: u32, urgent: bool) -> u32 {
         let reserved = if urgent {
             0
@@ -304,54 +308,59 @@
         slots.saturating_sub(reserved).max(1)
     }
 
-    /// Candidates in this process's region, or all if there is none.
-    fn nearest<'f>(&self, fleet: &Fleet, fit: Vec<Candidate<'f>>) -> Vec<Candidate<'f>> {
+    /// Candidates in the local region, or all if the region has none.
+    fn prefer_own_region<'f>(
+        &self,
+        fleet: &Fleet,
+        candidates: Vec<Candidate<'f>>,
+    ) -> Vec<Candidate<'f>> {
         let Some(region) = fleet.config().region_of(&self.failure_domain) else {
-            return fit;
+            return candidates;
         };
-        let here = |candidate: &Candidate<'f>| {
+        let is_local = |candidate: &Candidate<'f>| {
             region
                 .failure_domains
                 .contains(&candidate.record.failure_domain)
         };
-        if fit.iter().any(&here) {
-            return fit.into_iter().filter(&here).collect();
+        if candidates.iter().any(&is_local) {
+            return candidates.into_iter().filter(&is_local).collect();
         }
-        fit
+        candidates
     }
 
-    fn any(&mut self, fit: &[Candidate<'_>]) -> Choice {
-        let index = self.rng.random_range(0..fit.len());
-        chosen(fit, index)
+    fn choose_random(&mut self, candidates: &[Candidate<'_>]) -> Choice {
+        let index = self.rng.random_range(0..candidates.len());
+        gate_choice(candidates, index)
     }
 
-    fn next_in_turn(&mut self, fit: &[Candidate<'_>]) -> Choice {
-        self.turn += 1;
-        chosen(fit, self.turn % fit.len())
+    fn choose_round_robin(&mut self, candidates: &[Candidate<'_>]) -> Choice {
+        self.round_robin_index += 1;
+        gate_choice(candidates, self.round_robin_index % candidates.len())
     }
 
-    fn least_finish(&mut self, fit: &[Candidate<'_>], urgent: bool) -> Choice {
-        let total: f64 = fit.iter().map(Candidate::odds).sum();
+    fn choose_least_finish(&mut self, candidates: &[Candidate<'_>], urgent: bool) -> Choice {
+        let total: f64 = candidates.iter().map(Candidate::weight).sum();
         if total > 0.0 {
-            let at = self.rng.random::<f64>() * total;
-            return chosen(fit, draw(fit, at));
+            let point = self.rng.random::<f64>() * total;
+            return gate_choice(candidates, draw_weighted(candidates, point));
         }
-        let limit = self.queue_ahead(urgent);
-        let open = fit
+        let limit = self.max_target_queue(urgent);
+        let open = candidates
             .iter()
             .enumerate()
             .filter(|(_, one)| one.queued() < limit);
-        let best = open.min_by(|(_, a), (_, b)| a.wait_us().total_cmp(&b.wait_us()));
+        let best =
+            open.min_by(|(_, a), (_, b)| a.expected_wait_us().total_cmp(&b.expected_wait_us()));
         match best {
-            Some((index, _)) => chosen(fit, index),
+            Some((index, _)) => gate_choice(candidates, index),
             None => Choice::Busy,
         }
     }
 }
 
-/// Load of a target now, as far as it goes before the task; what an old sample
-/// counted has partly finished.
-fn believed_load(now: Moment, known: &Known, slots: u32, urgent: bool) -> f64 {
+/// Estimated load ahead of a task at a target. The load of an old sample is reduced by
+/// the tasks that have likely finished since.
+fn estimated_load(now: Moment, known: &Known, slots: u32, urgent: bool) -> f64 {
     let sample = &known.sample;
     let queued = if urgent {
         sample.urgent_queued
@@ -360,33 +369,33 @@
     };
     let load = f64::from(sample.running + queued);
     let age_us = now.mono_us.saturating_sub(known.at_us);
-    let stale_us = SAMPLE_STALE_RUNS * sample.mean_run_us;
-    let idle_us = age_us.saturating_sub(stale_us) as f64;
-    let finished = idle_us * f64::from(slots) / sample.mean_run_us.max(1) as f64;
+    let stale_us = STALE_AFTER_RUNS * sample.mean_run_us;
+    let elapsed_us = age_us.saturating_sub(stale_us) as f64;
+    let finished = elapsed_us * f64::from(slots) / sample.mean_run_us.max(1) as f64;
     (load - finished).max(0.0)
 }
 
-fn draw(fit: &[Candidate<'_>], at: f64) -> usize {
-    let mut left = at;
-    for (index, candidate) in fit.iter().enumerate() {
-        left -= candidate.odds();
-        if left < 0.0 {
+fn draw_weighted(candidates: &[Candidate<'_>], point: f64) -> usize {
+    let mut remaining = point;
+    for (index, candidate) in candidates.iter().enumerate() {
+        remaining -= candidate.weight();
+        if remaining < 0.0 {
             return index;
         }
     }
-    fit.len() - 1
+    candidates.len() - 1
 }
 
-fn chosen(fit: &[Candidate<'_>], index: usize) -> Choice {
-    let candidate = &fit[index];
+fn gate_choice(candidates: &[Candidate<'_>], index: usize) -> Choice {
+    let candidate = &candidates[index];
     Choice::Gate {
         gate: candidate.record.id.clone(),
         load: candidate.load,
-        candidates: fit.len(),
+        candidates: candidates.len(),
     }
 }
 
-/// A jittered delay before retry number `attempt`.
+/// Exponential backoff with jitter before retry number `attempt`.
 pub fn backoff(rng: &mut impl Rng, first: Duration, attempt: u32) -> Duration {
     let doubled = first * 2u32.saturating_pow(attempt.min(6));
     doubled.mul_f64(rng.random_range(0.5..1.5))
--- a/src/router.rs
+++ b/src/router.rs
@@ -1,11 +1,9 @@
-//! What an entry knows of the submissions that it forwards.
+//! Forwards submissions, cancellations and lookups from an entry to owners.
 //!
-//! A submission goes to the owner of its range, and again to the next owner if
-//! the range moves or the link breaks: the owner takes an id once, however
-//! often it comes. What an entry may say when no owner answers depends on
-//! what it has sent: only an id that is fresh (minted here, or declared a first
-//! attempt by its caller) and that no owner may have taken was provably not
-//! run. An entry that has no hope of an answer says so at once.
+//! A request goes to the owner of its range, and is resent if the range moves or the
+//! link breaks; owners deduplicate by id. If no owner answers, the entry reports "not
+//! run" only for a fresh id (generated here, or declared a first attempt by its caller)
+//! that no owner may have accepted.
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::time::Duration;
@@ -16,24 +14,24 @@
 use crate::message::{Answer, Ask, Message, Submission};
 use crate::time::{Moment, micros};
 
-/// Delay before an owner that did not take an id is asked again.
-const RETRY: Duration = Duration::from_millis(40);
-/// Time after its deadline by which the owner must have answered.
-const GRACE: Duration = Duration::from_millis(250);
-/// Time that a range may be without an owner before callers are told.
-const PATIENCE: Duration = Duration::from_millis(1_500);
+/// Delay before a request without an owner is forwarded again.
+const RETRY_DELAY: Duration = Duration::from_millis(40);
+/// Time after the deadline within which the owner must answer.
+const ANSWER_GRACE: Duration = Duration::from_millis(250);
+/// Time without a reachable owner after which a request fails.
+const NO_OWNER_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// What a router asks of the process around it.
+/// An effect that the surrounding process must carry out.
 #[derive(Clone, Debug)]
 pub enum RouterAction {
     /// Send a message.
     Send {
-        /// To whom.
+        /// Recipient.
         to: MemberId,
-        /// What.
+        /// The message.
         message: Message,
     },
-    /// Give callers their answer.
+    /// Answer callers.
     Reply {
         /// Callers at this entry.
         callers: Vec<u64>,
@@ -45,41 +43,41 @@
 }
 
 #[derive(Debug)]
-struct Pending {
+struct PendingRequest {
     submission: Submission,
     callers: Vec<u64>,
     fresh: bool,
     sent: Option<(MemberId, Epoch)>,
-    /// How often it went to each owner that may have taken it.
-    open_with: HashMap<MemberId, u32>,
-    since_us: u64,
+    /// Number of sends to each owner that may have accepted it.
+    unresolved_sends: HashMap<MemberId, u32>,
+    received_us: u64,
     deadline_us: u64,
     retry_us: u64,
 }
 
-type Key = (SubmissionId, Ask);
+type RequestKey = (SubmissionId, Ask);
 
-/// The submissions that wait for an owner's answer.
+/// Requests that wait for an owner's answer.
 #[derive(Debug, Default)]
 pub struct Router {
-    pending: BTreeMap<Key, Pending>,
+    pending: BTreeMap<RequestKey, PendingRequest>,
     connected: HashSet<MemberId>,
     store_down: bool,
 }
 
 impl Router {
-    /// Number of questions without an answer.
+    /// Number of pending requests.
     pub fn len(&self) -> usize {
         self.pending.len()
     }
 
-    /// Whether every question has its answer.
+    /// Whether no request is pending.
     pub fn is_empty(&self) -> bool {
         self.pending.is_empty()
     }
 
-    /// A caller asks something about a submission. `fresh` says that nobody
-    /// can have sent this id before.
+    /// Forwards a caller's request, or joins an equal one that is pending. `fresh`
+    /// means that the id cannot have been sent before.
     pub fn ask(
         &mut self,
         now: Moment,
@@ -94,13 +92,13 @@
             return pending.join(caller, &submission);
         }
         let deadline_us = now.after(Duration::from_millis(submission.budget_ms));
-        let pending = Pending {
+        let pending = PendingRequest {
             submission,
             callers: caller.into_iter().collect(),
             fresh,
             sent: None,
-            open_with: HashMap::new(),
-            since_us: now.mono_us,
+            unresolved_sends: HashMap::new(),
+            received_us: now.mono_us,
             deadline_us,
             retry_us: 0,
         };
@@ -108,12 +106,12 @@
         self.forward(now, fleet, key)
     }
 
-    /// Sends one question to the owner of its range, if there is one.
-    fn forward(&mut self, now: Moment, fleet: &Fleet, key: Key) -> Vec<RouterAction> {
+    /// Sends a request to the owner of its range, if it is connected.
+    fn forward(&mut self, now: Moment, fleet: &Fleet, key: RequestKey) -> Vec<RouterAction> {
         let Some(pending) = self.pending.get_mut(&key) else {
             return Vec::new();
         };
-        pending.retry_us = now.after(RETRY);
+        pending.retry_us = now.after(RETRY_DELAY);
         let range = key.0.range(fleet.config().ownership.ranges);
         let Some(row) = fleet.table().row(range) else {
             return Vec::new();
@@ -123,21 +121,26 @@
             return Vec::new();
         }
         pending.sent = Some((owner.clone(), row.epoch));
-        *pending.open_with.entry(owner.clone()).or_default() += 1;
+        *pending.unresolved_sends.entry(owner.clone()).or_default() += 1;
         let to = owner.clone();
         let message = pending.message(now, key.1);
         vec![RouterAction::Send { to, message }]
     }
 
-    /// An owner answered.
-    pub fn answered(&mut self, id: SubmissionId, about: Ask, answer: &Answer) -> Vec<RouterAction> {
+    /// Handles an owner's answer.
+    pub fn on_answer(
+        &mut self,
+        id: SubmissionId,
+        about: Ask,
+        answer: &Answer,
+    ) -> Vec<RouterAction> {
         let asks = [Ask::Submit, Ask::Cancel, Ask::Lookup];
         let settled = asks.into_iter().filter(|ask| about.answers(*ask));
         let replies = settled.filter_map(|ask| self.reply((id, ask), answer.clone()));
         replies.collect()
     }
 
-    fn reply(&mut self, key: Key, answer: Answer) -> Option<RouterAction> {
+    fn reply(&mut self, key: RequestKey, answer: Answer) -> Option<RouterAction> {
         let pending = self.pending.remove(&key)?;
         Some(RouterAction::Reply {
             callers: pending.callers,
@@ -146,37 +149,46 @@
         })
     }
 
-    /// A member that was thought to own an id does not; `untouched` says that
-    /// it did nothing with this message.
-    pub fn not_owner(&mut self, now: Moment, from: &MemberId, id: SubmissionId, untouched: bool) {
+    /// Handles a member's reply that it does not own the id; `untouched` means that it
+    /// did not accept the request.
+    pub fn on_not_owner(
+        &mut self,
+        now: Moment,
+        from: &MemberId,
+        id: SubmissionId,
+        untouched: bool,
+    ) {
         for ask in [Ask::Submit, Ask::Cancel, Ask::Lookup] {
             let Some(pending) = self.pending.get_mut(&(id, ask)) else {
                 continue;
             };
-            if untouched && pending.open_with.get(from) == Some(&1) {
-                pending.open_with.remove(from);
+            if untouched && pending.unresolved_sends.get(from) == Some(&1) {
+                pending.unresolved_sends.remove(from);
             }
-            if pending.sent_to(from) {
+            if pending.is_sent_to(from) {
                 pending.sent = None;
-                pending.retry_us = now.after(RETRY);
+                pending.retry_us = now.after(RETRY_DELAY);
             }
         }
     }
 
-    /// A link to a member came up.
+    /// Handles a new link to a member.
     pub fn link_up(&mut self, now: Moment, fleet: &Fleet, member: &MemberId) -> Vec<RouterAction> {
         self.connected.insert(member.clone());
         self.forward_unsent(now, fleet)
     }
 
-    /// The link to a member broke; what it was sent may be lost.
+    /// Handles a broken link; requests sent over it may be lost.
     pub fn link_down(&mut self, member: &MemberId) {
         self.connected.remove(member);
-        let sent = self.pending.values_mut().filter(|one| one.sent_to(member));
+        let sent = self
+            .pending
+            .values_mut()
+            .filter(|pending| pending.is_sent_to(member));
         sent.for_each(|pending| pending.sent = None);
     }
 
-    /// The table changed: what went to an owner before goes to the new one.
+    /// Handles a new table: requests of moved ranges go to the new owner.
     pub fn table_changed(&mut self, now: Moment, fleet: &Fleet) -> Vec<RouterAction> {
         let ranges = fleet.config().ownership.ranges;
         for (key, pending) in &mut self.pending {
@@ -194,34 +206,33 @@
             .pending
             .iter()
             .filter(|(_, pending)| pending.sent.is_none());
-        let keys: Vec<Key> = unsent.map(|(key, _)| *key).collect();
+        let keys: Vec<RequestKey> = unsent.map(|(key, _)| *key).collect();
         keys.into_iter()
             .flat_map(|key| self.forward(now, fleet, key))
             .collect()
     }
 
-    /// Whether the store answers this entry; while it does not, no range can
-    /// get a new owner.
-    pub fn store_down(&mut self, down: bool) {
+    /// Sets whether the store is unreachable; while it is, ranges cannot change owner.
+    pub fn set_store_down(&mut self, down: bool) {
         self.store_down = down;
     }
 
-    /// Time has passed: ask again, and give up what has no hope.
+    /// Forwards requests that are due and fails those that cannot be answered.
     pub fn tick(&mut self, now: Moment, fleet: &Fleet) -> Vec<RouterAction> {
         let mut actions = Vec::new();
         let due = self
             .pending
             .iter()
             .filter(|(_, pending)| pending.is_due(now));
-        let due: Vec<Key> = due.map(|(key, _)| *key).collect();
+        let due: Vec<RequestKey> = due.map(|(key, _)| *key).collect();
         for key in due {
             actions.extend(self.forward(now, fleet, key));
         }
         let ends = self.pending.iter().filter_map(|(key, pending)| {
-            let answer = self.given_up(now, pending)?;
+            let answer = self.timeout_answer(now, pending)?;
             Some((*key, answer))
         });
-        let ends: Vec<(Key, Answer)> = ends.collect();
+        let ends: Vec<(RequestKey, Answer)> = ends.collect();
         actions.extend(
             ends.into_iter()
                 .filter_map(|(key, answer)| self.reply(key, answer)),
@@ -229,34 +240,35 @@
         actions
     }
 
-    fn given_up(&self, now: Moment, pending: &Pending) -> Option<Answer> {
-        if now.mono_us >= pending.deadline_us + micros(GRACE) {
-            let text = "no answer came before the deadline";
+    fn timeout_answer(&self, now: Moment, pending: &PendingRequest) -> Option<Answer> {
+        if now.mono_us >= pending.deadline_us + micros(ANSWER_GRACE) {
+            let text = "no owner answered before the deadline";
             return Some(pending.failure(ResultCode::DeadlinePassed, text));
         }
-        let waited_us = now.mono_us.saturating_sub(pending.since_us);
-        let hopeless = pending.sent.is_none()
-            && (self.store_down || (pending.open_with.is_empty() && waited_us >= micros(PATIENCE)));
-        if !hopeless || waited_us < micros(RETRY) {
+        let waited_us = now.mono_us.saturating_sub(pending.received_us);
+        let cannot_proceed = pending.sent.is_none()
+            && (self.store_down
+                || (pending.unresolved_sends.is_empty() && waited_us >= micros(NO_OWNER_TIMEOUT)));
+        if !cannot_proceed || waited_us < micros(RETRY_DELAY) {
             return None;
         }
-        let text = "no owner serves this id now";
+        let text = "no reachable owner for this id";
         let code = match pending.effect() {
             Effect::NotRun => ResultCode::NoOwner,
             _ => ResultCode::OutcomeUnknown,
         };
-        let retry_after_ms = PATIENCE.as_millis() as u64;
+        let retry_after_ms = NO_OWNER_TIMEOUT.as_millis() as u64;
         Some(pending.failure(code, text).retry_after(retry_after_ms))
     }
 }
 
-impl Pending {
+impl PendingRequest {
     fn join(&mut self, caller: Option<u64>, submission: &Submission) -> Vec<RouterAction> {
         if self.submission.digest == submission.digest {
             self.callers.extend(caller);
             return Vec::new();
         }
-        let text = "this id belongs to another request";
+        let text = "id was already used for another request";
         vec![RouterAction::Reply {
             callers: caller.into_iter().collect(),
             id: submission.id,
@@ -280,7 +292,7 @@
         }
     }
 
-    fn sent_to(&self, member: &MemberId) -> bool {
+    fn is_sent_to(&self, member: &MemberId) -> bool {
         self.sent.as_ref().is_some_and(|(to, _)| to == member)
     }
 
@@ -289,7 +301,7 @@
     }
 
     fn effect(&self) -> Effect {
-        match self.fresh && self.open_with.is_empty() {
+        match self.fresh && self.unresolved_sends.is_empty() {
             true => Effect::NotRun,
             false => Effect::Unknown,
         }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -368,10 +368,10 @@
         let entries = self.store.entries();
         let one = &mut self.members[index];
         if down {
-            one.member.ownership.store_trouble(now);
+            one.member.ownership.on_store_failure(now);
         } else if one.seen_revision < revision {
             one.seen_revision = revision;
-            one.member.ownership.synced(now);
+            one.member.ownership.on_store_synced(now);
             let news = take_entries(&mut one.fleet, revision, &entries);
             one.member.on_news(now, &one.fleet, news);
         }
@@ -443,7 +443,7 @@
     }
 
     fn watch_entry(&mut self) {
-        self.router.store_down(self.store.down);
+        self.router.set_store_down(self.store.down);
         if self.store.down || self.entry_seen >= self.store.revision {
             return;
         }
@@ -562,7 +562,7 @@
         let now = self.moment(self.members[index].skew_ms);
         let one = &mut self.members[index];
         one.member
-            .heard_clock(now, &one.fleet, &flight.from, flight.wall_ms);
+            .observe_clock(now, &one.fleet, &flight.from, flight.wall_ms);
         one.member.observe(now, &one.fleet, &flight.loads);
         one.member
             .on_message(now, &one.fleet, &flight.from, flight.message);
@@ -580,11 +580,11 @@
         let now = self.now();
         match message {
             Message::Answer { id, about, answer } => {
-                let actions = self.router.answered(id, about, &answer);
+                let actions = self.router.on_answer(id, about, &answer);
                 self.apply_router(actions);
             }
             Message::NotOwner { id, untouched } => {
-                self.router.not_owner(now, from, id, untouched);
+                self.router.on_not_owner(now, from, id, untouched);
             }
             _ => {}
         }
--- a/tests/failures.rs
+++ b/tests/failures.rs
@@ -338,12 +338,12 @@
     let mut refused: Vec<(MemberId, u32)> = Vec::new();
     while !refused.iter().any(|(earlier, _)| *earlier == gate) {
         refused.push((gate.clone(), attempt));
-        let actions = owner.refused(now, &one.fleet, &gate, task, attempt, Refusal::Busy);
+        let actions = owner.on_refused(now, &one.fleet, &gate, task, attempt, Refusal::Busy);
         (gate, attempt) = started(&actions);
     }
     for (earlier, attempt) in refused {
-        owner.refused(now, &one.fleet, &earlier, task, attempt, Refusal::Busy);
-        let state = &owner.entries()[&id].open_tasks()[0];
+        owner.on_refused(now, &one.fleet, &earlier, task, attempt, Refusal::Busy);
+        let state = &owner.submissions()[&id].open_tasks()[0];
         assert_eq!(state.gate(), Some(&gate), "taken back by a copy");
     }
 }
