--- a/src/owner/ranges.rs
+++ b/src/owner/ranges.rs
@@ -2,9 +2,9 @@
 //!
 //! After a crash, the new owner waits until the old owner can no longer admit ids above
 //! the horizon. It then asks every gate which tasks of the range it started. A gate
-//! that answers refuses starts of older epochs from then on. When all gates have
-//! answered, an id that none of them reported has never started. If a gate is gone, the
-//! outcome of ids older than its departure stays unknown.
+//! that has answered refuses starts of older epochs. When all gates have answered, an
+//! id that none of them reported has never started. If a gate is gone, the outcome of
+//! ids older than its departure stays unknown.
 
 use std::collections::{BTreeMap, HashSet};
 use std::time::Duration;
