--- a/src/ephemeral/agent.rs
+++ b/src/ephemeral/agent.rs
@@ -16,7 +16,7 @@
 use crate::ephemeral::session::{SessionEvent, SessionId, SessionLoss, Sessions};
 use crate::ephemeral::suspension::Suspension;
 use crate::ephemeral::worker::{
-    HoldCall, HoldReply, OrderError, OrderedWorker, StartAnswer, WorkerReport,
+    PollCall, PollReply, StartAnswer, WorkerCallError, WorkerClient, WorkerReport,
 };
 use crate::ephemeral::worker_id::WorkerId;
 use crate::metrics::Metrics;
@@ -32,7 +32,7 @@
     /// Spans of sessions and leases.
     pub limits: Limits,
     /// The worker.
-    pub worker: Arc<dyn OrderedWorker>,
+    pub worker: Arc<dyn WorkerClient>,
     /// What the record in the store says.
     pub published: watch::Sender<Published>,
     /// Whether it will be told whether its failure domain is evacuated.
@@ -52,9 +52,9 @@
     Left(WorkerId),
     Recalled(Box<Published>),
     /// With the life of the worker that was meant; so the next one.
-    Started(WorkerId, RunId, Result<StartAnswer, OrderError>),
-    Stopped(WorkerId, RunId, Result<(), OrderError>),
-    Held(Moment, HoldCall, Result<HoldReply, OrderError>),
+    Started(WorkerId, RunId, Result<StartAnswer, WorkerCallError>),
+    Stopped(WorkerId, RunId, Result<(), WorkerCallError>),
+    Held(Moment, PollCall, Result<PollReply, WorkerCallError>),
     /// A hold failed, and whether it broke off; its answer follows after a pause.
     HoldFailed(bool),
     Evacuated(bool),
@@ -154,7 +154,7 @@
             self.gate.tick(now);
             self.act(now);
             self.show_figures(now);
-            if self.leaving && self.gate.idle() {
+            if self.leaving && self.gate.is_idle() {
                 break;
             }
         }
@@ -189,9 +189,9 @@
             Event::Report(report) => self.gate.worker_report(now, *report),
             Event::Recalled(published) => {
                 if let Some(worker) = &published.worker {
-                    self.gate.recall_worker(now, worker);
+                    self.gate.restore_worker(now, worker);
                 }
-                self.gate.recall_losses(published.losses);
+                self.gate.restore_losses(published.losses);
             }
             Event::Left(worker) => self.gate.worker_left(now, &worker),
             Event::Started(worker, run, answer) => {
@@ -200,15 +200,15 @@
             Event::Stopped(worker, run, answer) => {
                 self.gate.stop_answered(now, &worker, run, answer);
             }
-            Event::Held(sent, call, answer) => self.gate.hold_answered(now, sent, &call, answer),
-            Event::HoldFailed(broke) => self.gate.hold_failed(now, broke),
+            Event::Held(sent, call, answer) => self.gate.poll_answered(now, sent, &call, answer),
+            Event::HoldFailed(broke) => self.gate.poll_failed(now, broke),
             Event::Evacuated(evacuated) => {
                 let gauge = u64::from(evacuated);
                 self.parts.metrics.gauge("evacuated", gauge);
                 self.gate.evacuate(now, evacuated);
             }
             Event::Leave => {
-                info!(self.parts.log, "agent is leaving"; "idle" => self.gate.idle());
+                info!(self.parts.log, "agent is leaving"; "idle" => self.gate.is_idle());
                 self.leaving = true;
                 self.gate.leave(now);
             }
@@ -216,7 +216,7 @@
     }
 
     fn aim(&self, worker: WorkerRecord) {
-        self.parts.worker.aim(&worker.addr);
+        self.parts.worker.set_addr(&worker.addr);
         self.parts.published.send_if_modified(|published| {
             let changed = published.worker.as_ref() != Some(&worker);
             published.worker = Some(worker);
@@ -246,7 +246,7 @@
             self.shown_us = now.mono_us;
             let metrics = &self.parts.metrics;
             self.sessions.show_counts(metrics);
-            self.gate.show_queue(now, metrics);
+            self.gate.report_queue_metrics(now, metrics);
             let percent = self.gate.slowness_percent();
             metrics.gauge("worker_slowness_percent", u64::from(percent));
         }
@@ -272,8 +272,8 @@
                 self.sessions.send(session, message);
             }
             GateAction::Close(session) => self.lose(session, SessionLoss::GivenUp),
-            GateAction::Aim(worker) => self.aim(worker),
-            GateAction::Record(losses) => {
+            GateAction::SetWorker(worker) => self.aim(worker),
+            GateAction::StoreLosses(losses) => {
                 self.parts.metrics.count("workers_lost", 1);
                 self.parts
                     .published
@@ -293,8 +293,8 @@
                     let _ = tx.send(Event::Stopped(worker, run, answer.await));
                 });
             }
-            GateAction::Hold(call) => {
-                let answer = self.parts.worker.hold(call.clone());
+            GateAction::Poll(call) => {
+                let answer = self.parts.worker.poll_runs(call.clone());
                 let timer = self.parts.timer.clone();
                 tokio::spawn(async move {
                     let answer = answer.await;
@@ -302,7 +302,7 @@
                         let waited_us = timer.now().mono_us.saturating_sub(now.mono_us);
                         let broke = waited_us < micros(call.longest_wait());
                         let _ = tx.send(Event::HoldFailed(broke));
-                        timer.sleep(call.retry).await;
+                        timer.sleep(call.retry_delay).await;
                     }
                     let _ = tx.send(Event::Held(now, call, answer));
                 });
--- a/src/ephemeral/gate/config.rs
+++ b/src/ephemeral/gate/config.rs
@@ -1,21 +1,19 @@
-//! Configurations on their way from one entry to another.
-//!
-//! A gate knows which version each entry has, tells those that are behind, and
-//! carries parts of documents between them; it keeps none.
+//! Exchange of configuration documents between entries. The gate tracks the version of each
+//! entry, notifies those that are behind, and relays parts of documents; it stores none.
 
 use super::{Gate, GateAction};
 use crate::ephemeral::message::{ConfigPart, PartWanted, ProcessId, ToEntry};
 use crate::ephemeral::session::SessionId;
 
 impl Gate {
-    /// The newest version that a connected entry has; 0 if none has any.
+    /// Newest version that a connected entry has, or 0.
     pub(super) fn newest_config(&self) -> u64 {
         let versions = self.owners.values().map(|owner| owner.config);
         versions.max().unwrap_or(0)
     }
 
-    /// An entry has this version: tells those that have an older one.
-    pub(super) fn entry_has_config(&mut self, entry: &ProcessId, version: u64) {
+    /// Records an entry's version and notifies the entries that have an older one.
+    pub(super) fn note_config_version(&mut self, entry: &ProcessId, version: u64) {
         let before = self.newest_config();
         if let Some(owner) = self.owners.get_mut(entry) {
             owner.config = version;
@@ -29,12 +27,12 @@
             .map(|(entry, _)| entry.clone())
             .collect();
         for entry in behind {
-            self.tell(&entry, ToEntry::ConfigVersion(version));
+            self.send(&entry, ToEntry::ConfigVersion(version));
         }
     }
 
-    /// An entry wants part of a document: asks one that has it.
-    pub(super) fn want_config(&mut self, asker: SessionId, wanted: PartWanted) {
+    /// Forwards a request for part of a document to an entry that has it.
+    pub(super) fn request_config_part(&mut self, asker: SessionId, wanted: PartWanted) {
         let holders = self.owners.values();
         let holders: Vec<SessionId> = holders
             .filter(|owner| owner.config >= wanted.version)
@@ -43,15 +41,16 @@
         if holders.is_empty() {
             return;
         }
-        // Another gate turns to another holder, should this one not answer.
+        // Other gates choose other holders, so a retry elsewhere reaches another entry.
         let turn = self.me.incarnation.wrapping_add(asker.0) % holders.len() as u64;
         let session = holders[turn as usize];
         let message = ToEntry::WantConfig { asker, wanted };
         self.actions.push(GateAction::Send { session, message });
     }
 
-    /// Passes a part on to the entry that asked for it, if it is still there.
-    pub(super) fn pass_config_part(&mut self, asker: SessionId, part: ConfigPart) {
+    /// Forwards a part of a document to the entry that requested it, if it is still
+    /// connected.
+    pub(super) fn forward_config_part(&mut self, asker: SessionId, part: ConfigPart) {
         if self.sessions.contains_key(&asker) {
             self.actions.push(GateAction::Send {
                 session: asker,
--- a/src/ephemeral/gate/evacuation.rs
+++ b/src/ephemeral/gate/evacuation.rs
@@ -1,7 +1,5 @@
-//! The gate of a worker in a failure domain that operators evacuate.
-//!
-//! What runs goes on. Nothing more is started, by whoever has not heard of it either:
-//! no run that waits, none that comes, no order once more.
+//! Evacuation of the gate's failure domain. While it is evacuated, queued and new runs are
+//! refused and starts are not repeated; runs on the worker continue.
 
 use std::time::Duration;
 
@@ -11,25 +9,24 @@
 use crate::ephemeral::message::NotRunReason;
 use crate::time::Moment;
 
-/// How long a gate that starts takes nothing while it has not read whether its domain is
-/// evacuated: the store answers in 4 ms, and in a quarter of a second when it is slow.
-/// Where the store is away, work goes on after it.
-const FIRST_READ: Duration = Duration::from_millis(300);
+/// How long a starting gate refuses runs while the evacuation state has not been read.
+/// After it, the gate works without the store.
+const INITIAL_READ_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// What a gate knows of the evacuation of its failure domain.
+/// Evacuation state of the gate's failure domain.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(super) enum Evacuation {
-    /// It is not evacuated, or nobody says.
+    /// Not evacuated, or not known to be.
     #[default]
     No,
-    /// It may be; taken for not evacuated from this time on, in monotonic microseconds.
+    /// Not read yet; treated as not evacuated from this time on, in monotonic microseconds.
     UnknownUntil(u64),
-    /// It is.
+    /// Evacuated.
     Yes,
 }
 
 impl Evacuation {
-    pub(super) fn bars_starts(self, now: Moment) -> bool {
+    pub(super) fn blocks_starts(self, now: Moment) -> bool {
         match self {
             Evacuation::No => false,
             Evacuation::UnknownUntil(until_us) => now.mono_us < until_us,
@@ -39,12 +36,12 @@
 }
 
 impl Gate {
-    /// Whether the domain is evacuated will be told soon.
+    /// Refuses runs until the evacuation state is read, or for [`INITIAL_READ_TIMEOUT`].
     pub fn expect_evacuation(&mut self, now: Moment) {
-        self.evacuation = Evacuation::UnknownUntil(now.after(FIRST_READ));
+        self.evacuation = Evacuation::UnknownUntil(now.after(INITIAL_READ_TIMEOUT));
     }
 
-    /// Operators have evacuated the gate's failure domain, or it is taken back.
+    /// Sets whether the failure domain is evacuated.
     pub fn evacuate(&mut self, now: Moment, evacuated: bool) {
         let next = match evacuated {
             true => Evacuation::Yes,
@@ -53,8 +50,8 @@
         if next == self.evacuation {
             return;
         }
-        info!(self.log, "evacuation"; "evacuated" => evacuated, "runs" => self.runs.len(),
-            "waiting" => self.queue.len());
+        info!(self.log, "evacuation state changed"; "evacuated" => evacuated,
+            "runs" => self.runs.len(), "waiting" => self.queue.len());
         self.evacuation = next;
         self.load_changed = true;
         if evacuated {
--- a/src/ephemeral/gate/losses.rs
+++ b/src/ephemeral/gate/losses.rs
@@ -1,42 +1,42 @@
-//! What a gate makes of the loss of its worker: a fact about every task that was there.
+//! Records which runs were on a lost worker and reports them to the entries.
 //!
-//! Entries are told before they are told of the ends of the runs, so that a task which
-//! is to be given up goes nowhere else first.
+//! Entries receive the losses before the ends of the runs, so that a task that is to be
+//! given up is not retried first.
 
 use std::cmp::Reverse;
 
 use slog::info;
 
-use super::progress::BUSY_WAIT;
-use super::worker_life::MUTE_FROM;
+use super::progress::BUSY_POLL_WAIT;
+use super::worker_incarnations::UNRESPONSIVE_MISSES;
 use super::{Gate, GateAction, Run, RunState};
 use crate::ephemeral::job::RunId;
 use crate::ephemeral::losses::{WorkerLoss, is_likely, went_on};
 use crate::ephemeral::message::{ProcessId, ToEntry};
-use crate::ephemeral::worker::{OrderError, StartAnswer, StartReply};
+use crate::ephemeral::worker::{StartAnswer, StartReply, WorkerCallError};
 use crate::ephemeral::worker_id::WorkerId;
 use crate::time::{Moment, micros};
 
-/// Newest losses that a gate keeps and tells entries that connect.
-const MOST_KEPT: usize = 64;
-/// Newest losses in the gate's record. Where all of 240 workers are lost at once, the
-/// records of 1.5 kB are 360 kB for each entry, 0.25 s on half of 25 Mbit/s.
-const MOST_RECORDED: usize = 16;
+/// Losses kept and sent to entries that connect.
+const MAX_KEPT_LOSSES: usize = 64;
+/// Losses stored in the gate's record; bounds the data that entries read when many workers
+/// are lost at once.
+const MAX_STORED_LOSSES: usize = 16;
 
-/// A run that was on the worker.
+/// A run that was on a lost worker.
 #[derive(Debug)]
-pub(super) struct Lost {
-    /// How long it had gone on; the longest time if that is not known.
+pub(super) struct LostRun {
+    /// Time since its start; `u64::MAX` if unknown.
     age_us: u64,
-    /// Its entry, if it is known.
+    /// Its entry, if known.
     owner: Option<ProcessId>,
     loss: WorkerLoss,
 }
 
-impl Lost {
-    /// The same while the worker may live.
-    fn as_possible(&self) -> Lost {
-        Lost {
+impl LostRun {
+    /// The same as an unconfirmed loss, for a worker that may still be alive.
+    fn as_unconfirmed(&self) -> LostRun {
+        LostRun {
             age_us: self.age_us,
             owner: self.owner.clone(),
             loss: WorkerLoss {
@@ -49,34 +49,38 @@
 }
 
 impl Gate {
-    /// The worker is lost, with all that was on it. Of an order without an answer yet its
-    /// answer will tell: it may have met a worker that was gone already.
-    pub(super) fn note_losses(&mut self, now: Moment, worker: &WorkerId) {
+    /// Records the loss of the worker and of the runs on it. Unanswered starts are resolved
+    /// by their outcome, as they may have reached the worker after its end.
+    pub(super) fn record_losses(&mut self, now: Moment, worker: &WorkerId) {
         let open = self
             .runs
             .iter()
             .filter(|(_, record)| record.is_unanswered());
         let open = open.map(|(run, _)| (*run, loss_of(*run, worker)));
-        self.open_starts = open.collect();
-        let mut lost = std::mem::take(&mut self.in_doubt);
-        lost.extend(self.runs_on(now, worker));
+        self.unanswered_starts = open.collect();
+        let mut lost = std::mem::take(&mut self.suspected_losses);
+        lost.extend(self.lost_runs(now, worker));
         self.publish_losses(lost);
     }
 
-    /// The answer to an order of a worker that is lost: unless the order did not come, or
-    /// was turned away, the worker had the run.
-    pub(super) fn answer_of_lost(&mut self, run: RunId, answer: &Result<StartAnswer, OrderError>) {
-        let Some(mut loss) = self.open_starts.remove(&run) else {
+    /// Handles the outcome of a start to a lost worker: the worker had the run, unless the
+    /// start was rejected or did not arrive.
+    pub(super) fn resolve_unanswered_start(
+        &mut self,
+        run: RunId,
+        answer: &Result<StartAnswer, WorkerCallError>,
+    ) {
+        let Some(mut loss) = self.unanswered_starts.remove(&run) else {
             return;
         };
         let reply = answer.as_ref().map(|answer| answer.reply);
         match reply {
-            // It may be the next life that answers, if the worker started again.
+            // If the worker has restarted, the answer may come from the next incarnation.
             Ok(StartReply::Running) => loss.ran = !self.has_restarted(&loss.worker),
-            Err(OrderError::Unanswered) => {}
+            Err(WorkerCallError::Unanswered) => {}
             _ => return,
         }
-        let lost = Lost {
+        let lost = LostRun {
             age_us: 0,
             owner: None,
             loss,
@@ -84,65 +88,68 @@
         self.publish_losses(vec![lost]);
     }
 
-    /// Whether another life answers, or may answer, under the name of this one.
+    /// Whether the worker has, or may have, restarted under the same name.
     fn has_restarted(&self, worker: &WorkerId) -> bool {
-        let present = self.life.as_ref().map(|life| &life.traits.id);
+        let current = self
+            .incarnation
+            .as_ref()
+            .map(|incarnation| &incarnation.traits.id);
         let is_next = |id: &WorkerId| id != worker && id.name == worker.name;
-        self.kept.is_some() || present.is_some_and(is_next)
+        self.carry_over.is_some() || current.is_some_and(is_next)
     }
 
-    fn publish_losses(&mut self, mut lost: Vec<Lost>) {
+    fn publish_losses(&mut self, mut lost: Vec<LostRun>) {
         if lost.is_empty() {
             return;
         }
-        // The youngest are the likeliest reason, and are kept longest.
+        // The youngest runs are the likeliest cause, and are kept longest.
         lost.sort_by_key(|lost| Reverse(lost.age_us));
-        self.tell_losses(&lost);
+        self.send_losses(&lost);
         self.keep_losses(lost.into_iter().map(|lost| lost.loss));
     }
 
-    /// The worker was not heard for its whole lease. What it had is known to be lost once
-    /// the present life turns out to be over, unless it is heard before. If it lets orders
-    /// go unanswered, it may have crashed and stay silent: that is told at once. Otherwise
-    /// this gate may have stood still, or the next life answers already.
-    pub(super) fn doubt_runs(&mut self, now: Moment, worker: &WorkerId) {
-        let doubted = self.runs_on(now, worker);
-        if self.is_mute(now) {
-            let possible = doubted.iter().map(Lost::as_possible).collect();
+    /// Handles an expired lease. The losses are final only once the incarnation is known to
+    /// have ended; an answer cancels them. Unconfirmed losses are published at once if the
+    /// worker is unresponsive, as it may have crashed. Otherwise this process may have
+    /// stalled, or the next incarnation already answers.
+    pub(super) fn suspect_losses(&mut self, now: Moment, worker: &WorkerId) {
+        let suspected = self.lost_runs(now, worker);
+        if self.is_unresponsive(now) {
+            let possible = suspected.iter().map(LostRun::as_unconfirmed).collect();
             self.publish_losses(possible);
         }
-        self.in_doubt.extend(doubted);
+        self.suspected_losses.extend(suspected);
     }
 
-    fn runs_on(&self, now: Moment, worker: &WorkerId) -> Vec<Lost> {
-        let out = || {
+    fn lost_runs(&self, now: Moment, worker: &WorkerId) -> Vec<LostRun> {
+        let dispatched = || {
             self.runs
                 .iter()
                 .filter(|(_, record)| record.may_have_begun())
         };
-        let begun = out().filter(|(_, record)| record.began());
+        let begun = dispatched().filter(|(_, record)| record.has_begun());
         let ages_us = begun.map(|(_, record)| self.age_at_loss_us(now, record));
         let youngest_us = ages_us.min().unwrap_or(0);
-        let owned = out().map(|(run, record)| {
+        let owned = dispatched().map(|(run, record)| {
             let age_us = self.age_at_loss_us(now, record);
-            // The age of a run that an earlier gate began is not known.
-            let by_this_life = record.listed || !self.has_restarted(worker);
-            let known = record.began() && record.mark.is_some() && by_this_life;
+            // The age of a run that a previous gate started is unknown.
+            let by_this_incarnation = record.listed || !self.has_restarted(worker);
+            let known = record.has_begun() && record.last_sample.is_some() && by_this_incarnation;
             let loss = WorkerLoss {
                 likely: known && is_likely(age_us, record.expected_us, youngest_us),
-                ran: known && self.ran_at_loss(now, record),
+                ran: known && self.was_running_at_loss(now, record),
                 ..loss_of(*run, worker)
             };
             info!(self.log, "run lost with its worker"; "run" => %run, "worker" => %worker,
                 "state" => ?record.state, "age_us" => age_us, "likely" => loss.likely,
                 "ran" => loss.ran, "expected_us" => record.expected_us);
-            Lost {
+            LostRun {
                 age_us,
                 owner: Some(record.owner.clone()),
                 loss,
             }
         });
-        let unclaimed = self.unclaimed.keys().map(|run| Lost {
+        let unclaimed = self.unclaimed.keys().map(|run| LostRun {
             age_us: u64::MAX,
             owner: None,
             loss: loss_of(*run, worker),
@@ -150,51 +157,54 @@
         owned.chain(unclaimed).collect()
     }
 
-    /// How long a run had gone on when its worker was lost, as far as can be told: the worker
-    /// answers a hold within [`BUSY_WAIT`] while it lives, and the hold fails as it crashes.
+    /// Upper bound of a run's age when its worker was lost. A live worker answers a poll
+    /// within [`BUSY_POLL_WAIT`], and a crash fails the poll.
     fn age_at_loss_us(&self, now: Moment, run: &Run) -> u64 {
-        let failed_us = self.hold_failed_us.unwrap_or(now.mono_us);
-        let lost_us = failed_us.min(self.answered_us + micros(BUSY_WAIT));
+        let failed_us = self.poll_failed_us.unwrap_or(now.mono_us);
+        let lost_us = failed_us.min(self.answered_us + micros(BUSY_POLL_WAIT));
         lost_us.saturating_sub(run.since_us)
     }
 
-    /// When the worker was lost, at the latest, in monotonic microseconds: as a hold broke
-    /// off, or before several calls in a row went unanswered. A single one may be lost
+    /// Latest time at which the worker was lost, in monotonic microseconds: when a poll was
+    /// disconnected, or before several calls went unanswered. A single call may be lost
     /// while the worker lives.
     fn lost_by_us(&self, now: Moment) -> u64 {
-        let silent = self.misses >= MUTE_FROM;
-        let silent_us = silent.then_some(self.answered_us + micros(BUSY_WAIT));
-        let broke_us = self.hold_broke_us.into_iter();
-        broke_us.chain(silent_us).min().unwrap_or(now.mono_us)
+        let silent = self.missed_answers >= UNRESPONSIVE_MISSES;
+        let silent_us = silent.then_some(self.answered_us + micros(BUSY_POLL_WAIT));
+        let disconnected_us = self.poll_disconnected_us.into_iter();
+        disconnected_us
+            .chain(silent_us)
+            .min()
+            .unwrap_or(now.mono_us)
     }
 
-    /// Whether a run that had begun was surely not over when the worker was lost.
-    fn ran_at_loss(&self, now: Moment, run: &Run) -> bool {
+    /// Whether a run that had begun was certainly unfinished when the worker was lost.
+    fn was_running_at_loss(&self, now: Moment, run: &Run) -> bool {
         let lost_us = self.lost_by_us(now);
         let stopped = match run.state {
-            // Carried out, perhaps, without an answer.
+            // The stop may have taken effect without an acknowledgement.
             RunState::Stopping { since_us, .. } => since_us < lost_us,
             _ => false,
         };
-        // After the lease that the worker took last, its runs lapse before it crashes.
-        let found_us = self.hold_failed_us.unwrap_or(now.mono_us);
-        let taken_us = self.answered_us.saturating_sub(micros(BUSY_WAIT));
-        let in_lease = found_us <= taken_us + micros(self.limits.lease);
+        // After its last lease has expired, a run may have ended before the worker was lost.
+        let detected_us = self.poll_failed_us.unwrap_or(now.mono_us);
+        let lease_taken_us = self.answered_us.saturating_sub(micros(BUSY_POLL_WAIT));
+        let in_lease = detected_us <= lease_taken_us + micros(self.limits.lease);
         let age_us = lost_us.saturating_sub(run.ordered_us);
         in_lease && !stopped && went_on(age_us, run.expected_us)
     }
 
-    /// Tells each entry the likeliest reasons, and all that became of its own runs.
-    fn tell_losses(&mut self, lost: &[Lost]) {
-        let told_from = lost.len().saturating_sub(MOST_RECORDED);
+    /// Sends each entry the likeliest causes and the losses of its own runs.
+    fn send_losses(&mut self, lost: &[LostRun]) {
+        let sent_from = lost.len().saturating_sub(MAX_STORED_LOSSES);
         let entries: Vec<ProcessId> = self.owners.keys().cloned().collect();
         for entry in entries {
-            let of_interest = |(at, lost): &(usize, &Lost)| {
-                *at >= told_from || lost.owner.as_ref() == Some(&entry)
+            let of_interest = |(at, lost): &(usize, &LostRun)| {
+                *at >= sent_from || lost.owner.as_ref() == Some(&entry)
             };
             let losses = lost.iter().enumerate().filter(of_interest);
             let losses: Vec<WorkerLoss> = losses.map(|(_, lost)| lost.loss.clone()).collect();
-            self.tell(&entry, ToEntry::Losses(losses));
+            self.send(&entry, ToEntry::Losses(losses));
         }
     }
 
@@ -203,50 +213,50 @@
             self.losses.retain(|known| !known.is_of_same_run(&loss));
             self.losses.push_back(loss);
         }
-        let surplus = self.losses.len().saturating_sub(MOST_KEPT);
+        let surplus = self.losses.len().saturating_sub(MAX_KEPT_LOSSES);
         self.losses.drain(..surplus);
-        let recorded_from = self.losses.len().saturating_sub(MOST_RECORDED);
-        let newest = self.losses.range(recorded_from..).cloned().collect();
-        self.actions.push(GateAction::Record(newest));
+        let stored_from = self.losses.len().saturating_sub(MAX_STORED_LOSSES);
+        let newest = self.losses.range(stored_from..).cloned().collect();
+        self.actions.push(GateAction::StoreLosses(newest));
     }
 
-    /// A hold has just failed; its answer as such comes later. It `broke` off if it did not
-    /// wait in vain.
-    pub fn hold_failed(&mut self, now: Moment, broke: bool) {
-        self.hold_failed_us.get_or_insert(now.mono_us);
-        if broke {
-            self.hold_broke_us.get_or_insert(now.mono_us);
+    /// Records that a poll failed, before its outcome is delivered; `disconnected` is
+    /// whether it failed before its timeout.
+    pub fn poll_failed(&mut self, now: Moment, disconnected: bool) {
+        self.poll_failed_us.get_or_insert(now.mono_us);
+        if disconnected {
+            self.poll_disconnected_us.get_or_insert(now.mono_us);
         }
     }
 
-    /// What the record of an earlier gate on this machine says.
-    pub fn recall_losses(&mut self, losses: Vec<WorkerLoss>) {
+    /// Restores the losses recorded by a previous gate on this machine.
+    pub fn restore_losses(&mut self, losses: Vec<WorkerLoss>) {
         if !losses.is_empty() {
-            info!(self.log, "losses recalled"; "losses" => losses.len());
+            info!(self.log, "worker losses restored"; "losses" => losses.len());
             self.keep_losses(losses.into_iter());
         }
     }
 
-    /// An entry found out what an earlier gate here could not tell.
-    pub(super) fn hear_losses(&mut self, from: &ProcessId, losses: Vec<WorkerLoss>) {
+    /// Stores losses found by an entry and forwards them to the others.
+    pub(super) fn receive_losses(&mut self, from: &ProcessId, losses: Vec<WorkerLoss>) {
         let others = self.owners.keys().filter(|entry| *entry != from);
         let others: Vec<ProcessId> = others.cloned().collect();
         for entry in others {
-            self.tell(&entry, ToEntry::Losses(losses.clone()));
+            self.send(&entry, ToEntry::Losses(losses.clone()));
         }
         self.keep_losses(losses.into_iter());
     }
 
-    /// Tells an entry that has just connected what is known.
-    pub(super) fn tell_known_losses(&mut self, entry: &ProcessId) {
+    /// Sends the known losses to an entry that has connected.
+    pub(super) fn send_known_losses(&mut self, entry: &ProcessId) {
         if !self.losses.is_empty() {
             let losses = self.losses.iter().cloned().collect();
-            self.tell(entry, ToEntry::Losses(losses));
+            self.send(entry, ToEntry::Losses(losses));
         }
     }
 }
 
-/// A loss of which nothing more is known.
+/// A loss without further details.
 fn loss_of(run: RunId, worker: &WorkerId) -> WorkerLoss {
     WorkerLoss {
         job: run.job,
--- a/src/ephemeral/gate/mod.rs
+++ b/src/ephemeral/gate/mod.rs
@@ -1,30 +1,30 @@
-//! The gate of a worker: the only way to it, and the only guard of its room.
+//! Scheduling state machine of the gate, which is the only client of a worker and enforces
+//! its capacity.
 //!
-//! Entries open sessions and order runs. A run waits here for room, in the order
-//! of the latest time at which it must begin, is ordered from the worker, and
-//! ends when the worker lists its end. An order without an answer keeps its room
-//! until the run is barred and a list shows that it is not there. The runs of an
-//! entry that falls silent are stopped.
-//!
-//! A gate that starts anew finds the runs of its predecessor in the worker's
-//! list and takes nothing before each was claimed by its entry or is over.
+//! Its inputs are messages from entries, replies and reports from the worker, and the
+//! clock; its outputs are [`GateAction`]s. Runs queue until the worker has room, are then
+//! started on it, and end when the worker lists their end. A run whose start was not
+//! answered keeps its reservation until the worker has acknowledged a stop and a later
+//! listing omits it. The runs of an entry whose session expires are stopped. A restarted
+//! gate starts nothing until each run that the worker lists is claimed by its entry or has
+//! ended.
 
 mod config;
 mod evacuation;
 mod forecast;
 mod headroom;
 mod health;
-mod life;
+mod incarnation;
 mod losses;
 mod pace;
 mod patience;
+mod pause;
 mod progress;
 mod queue;
 mod restart;
 mod sessions;
 mod speed;
-mod turns;
-mod worker_life;
+mod worker_incarnations;
 
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 use std::sync::Arc;
@@ -40,90 +40,92 @@
 use crate::ephemeral::message::{GateLoad, NotRunReason, ProcessId, RunEnd, ToEntry};
 use crate::ephemeral::room::Room;
 use crate::ephemeral::session::SessionId;
-use crate::ephemeral::worker::{HoldCall, StartCall, StopCall};
+use crate::ephemeral::worker::{PollCall, StartCall, StopCall};
 use crate::ephemeral::worker_id::WorkerId;
 use crate::time::{Moment, micros};
 use evacuation::Evacuation;
 use headroom::Headroom;
 use health::Health;
-use life::Life;
-use losses::Lost;
-use pace::Mark;
+use incarnation::Incarnation;
+use losses::LostRun;
+use pace::ProgressSample;
 use patience::PatienceCounts;
-use queue::Place;
-use restart::Kept;
+use queue::QueuePosition;
+use restart::CarryOver;
 use sessions::Owner;
-use worker_life::Successor;
+use worker_incarnations::Successor;
 
-/// How long ends are kept for entries that reconnect.
-const KEEP_ENDS: Duration = Duration::from_secs(3);
-/// Pause before an order to stop is sent again whose answer got lost with an
-/// earlier life of the worker's connection.
-const STOP_AGAIN: Duration = Duration::from_millis(160);
+/// Retention of ended runs, for entries that reconnect.
+const ENDED_RUN_RETENTION: Duration = Duration::from_secs(3);
+/// Delay before an unacknowledged stop is sent again.
+const STOP_RETRY_DELAY: Duration = Duration::from_millis(160);
 
-/// What a gate asks of the process around it.
+/// A side effect requested from the process that hosts the gate.
 #[derive(Clone, Debug)]
 pub enum GateAction {
     /// Send a message to an entry.
     Send {
-        /// Its session.
+        /// Session of the entry.
         session: SessionId,
-        /// What.
+        /// The message.
         message: ToEntry,
     },
     /// Close a session.
     Close(SessionId),
-    /// Order a run from the worker.
+    /// Start a run on the worker.
     Start(StartCall),
-    /// Bar or stop a run on the worker.
+    /// Stop a run on the worker, or prevent its start.
     Stop(StopCall),
-    /// Ask the worker for its lists.
-    Hold(HoldCall),
-    /// This is the worker from now on; orders go to it.
-    Aim(WorkerRecord),
-    /// Keep these losses of workers in the gate's record.
-    Record(Vec<WorkerLoss>),
+    /// Poll the worker for its running and ended runs.
+    Poll(PollCall),
+    /// Direct all further calls to this worker.
+    SetWorker(WorkerRecord),
+    /// Store these worker losses in the gate's record.
+    StoreLosses(Vec<WorkerLoss>),
 }
 
-/// Why a run is being stopped.
+/// Reason for stopping a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum StopCause {
-    /// The order to start it was not answered.
+    /// The start was not answered.
     Unanswered,
-    /// Its entry does not want it, or is gone.
+    /// The entry withdrew the run or is gone.
     Unwanted,
-    /// It does not get on.
+    /// The run is slow or makes no progress.
     Stalled,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum RunState {
     /// Waits for room until `until_us`.
-    Queued { place: Place, until_us: u64 },
-    /// Claimed by its entry before the worker's lists came.
+    Queued {
+        position: QueuePosition,
+        until_us: u64,
+    },
+    /// Claimed by its entry before the first listing of the worker.
     Claimed {
-        /// Whether an earlier life of the gate may have begun it.
+        /// Whether a previous incarnation of the gate may have started it.
         began: bool,
     },
-    /// Ordered; no answer yet.
+    /// Start sent, not yet answered.
     Starting {
-        /// When the order was last sent.
+        /// Time of the last attempt.
         asked_us: u64,
-        /// Times that it was sent again for want of an answer.
+        /// Number of repeated attempts.
         resent: u32,
     },
-    /// On the worker.
+    /// Running on the worker.
     Running,
-    /// Being barred or stopped.
+    /// Stop sent, end not yet confirmed.
     Stopping {
         cause: StopCause,
-        /// Whether the worker was seen to run it.
+        /// Whether the worker reported it as running.
         began: bool,
-        /// When the order was first sent.
+        /// Time of the first stop.
         since_us: u64,
-        /// When the order was last sent.
+        /// Time of the last stop.
         asked_us: u64,
-        /// When the worker took note.
+        /// Time at which the worker acknowledged the stop.
         acked_us: Option<u64>,
     },
 }
@@ -135,38 +137,38 @@
     payload: Arc<str>,
     expected_us: u64,
     movable: bool,
-    /// Whether a worker was lost under its task before.
+    /// Whether the worker of an earlier run of its task was lost.
     implicated: bool,
-    /// Whether it leaves room free for more urgent ones.
+    /// Whether it leaves room free for more urgent runs.
     leaves_headroom: bool,
     since_us: u64,
-    /// When its order was first sent.
+    /// Time of the first start.
     ordered_us: u64,
     state: RunState,
-    /// Whether the worker was seen to run it.
+    /// Whether a listing of the worker has contained it.
     listed: bool,
-    /// How far it was at the last look.
-    mark: Option<Mark>,
+    /// Progress at the last sample.
+    last_sample: Option<ProgressSample>,
 }
 
 impl Run {
-    /// Whether the worker may have it.
-    fn is_out(&self) -> bool {
+    /// Whether a start may have reached the worker.
+    fn is_dispatched(&self) -> bool {
         !matches!(self.state, RunState::Queued { .. })
     }
 
-    /// Whether the first copy of its order has no answer yet.
+    /// Whether the first start is still unanswered.
     fn is_unanswered(&self) -> bool {
         matches!(self.state, RunState::Starting { resent: 0, .. })
     }
 
-    /// Whether the worker may have begun it, as far as is known by now.
+    /// Whether the worker may have begun the run.
     fn may_have_begun(&self) -> bool {
-        self.is_out() && !self.is_unanswered()
+        self.is_dispatched() && !self.is_unanswered()
     }
 
-    /// Whether the worker is known to have begun it.
-    fn began(&self) -> bool {
+    /// Whether the worker is known to have begun the run.
+    fn has_begun(&self) -> bool {
         matches!(
             self.state,
             RunState::Running | RunState::Stopping { began: true, .. }
@@ -175,7 +177,7 @@
 }
 
 #[derive(Clone, Debug)]
-struct PastRun {
+struct EndedRun {
     owner: ProcessId,
     end: RunEnd,
     run_us: u64,
@@ -188,23 +190,24 @@
     me: ProcessId,
     limits: Limits,
     log: Logger,
-    life: Option<Life>,
+    incarnation: Option<Incarnation>,
     successor: Option<Successor>,
-    /// Lives that are known to be over.
-    past_lives: VecDeque<WorkerId>,
-    /// Whether workers tell their births here: who does not is none of them.
-    births_told: bool,
-    /// Highest fencing token that was used.
+    /// Incarnations of the worker that are known to have ended.
+    past_incarnations: VecDeque<WorkerId>,
+    /// Whether workers report their start time.
+    reports_start_time: bool,
+    /// Highest fencing token used so far.
     fence_used: u64,
-    /// Runs of a worker that has started again under its name, kept until the next life's
-    /// lists tell what became of their orders.
-    kept: Option<Kept>,
-    /// Losses of its workers, newest last.
+    /// Set from the end of an incarnation that restarts under its name until the next one is
+    /// adopted.
+    carry_over: Option<CarryOver>,
+    /// Worker losses, oldest first.
     losses: VecDeque<WorkerLoss>,
-    /// What was on the present life when its lease ran out, unless it was heard since.
-    in_doubt: Vec<Lost>,
-    /// Orders without an answer when the last worker was lost.
-    open_starts: HashMap<RunId, WorkerLoss>,
+    /// Runs that were on the current incarnation when its lease expired; cleared when it
+    /// answers a poll.
+    suspected_losses: Vec<LostRun>,
+    /// Starts that were unanswered when the last worker was lost.
+    unanswered_starts: HashMap<RunId, WorkerLoss>,
     room: Room,
     headroom: Headroom,
     patience_counts: PatienceCounts,
@@ -213,24 +216,24 @@
     owners: BTreeMap<ProcessId, Owner>,
     sessions: HashMap<SessionId, ProcessId>,
     runs: BTreeMap<RunId, Run>,
-    queue: BTreeSet<Place>,
-    past: HashMap<RunId, PastRun>,
-    past_order: VecDeque<(u64, RunId)>,
-    /// Runs of an earlier gate on this worker that no entry has claimed.
+    queue: BTreeSet<QueuePosition>,
+    ended_runs: HashMap<RunId, EndedRun>,
+    ended_order: VecDeque<(u64, RunId)>,
+    /// Runs of a previous gate that no entry has claimed, and when they are to be stopped.
     unclaimed: BTreeMap<RunId, u64>,
-    hold_pending: bool,
+    poll_pending: bool,
     check_pending: bool,
     check_wanted: bool,
-    /// Orders in a row that the worker did not answer.
-    misses: u32,
-    /// Holds in a row that it did not answer.
-    hold_misses: u32,
-    /// When it last answered one.
+    /// Consecutive calls without an answer.
+    missed_answers: u32,
+    /// Consecutive polls without an answer.
+    missed_polls: u32,
+    /// Time of the last answer.
     answered_us: u64,
-    /// When the first hold failed since then.
-    hold_failed_us: Option<u64>,
-    /// When the first hold broke off since then, sooner than for want of an answer.
-    hold_broke_us: Option<u64>,
+    /// Time of the first failed poll since the last answer.
+    poll_failed_us: Option<u64>,
+    /// Time of the first poll since the last answer that failed before its timeout.
+    poll_disconnected_us: Option<u64>,
     leaving: bool,
     evacuation: Evacuation,
     load_changed: bool,
@@ -239,21 +242,21 @@
 }
 
 impl Gate {
-    /// A gate without a worker.
+    /// Creates a gate without a worker.
     pub fn new(me: ProcessId, limits: Limits, log: Logger) -> Gate {
         Gate {
             me,
             limits,
             log,
-            life: None,
+            incarnation: None,
             successor: None,
-            past_lives: VecDeque::new(),
-            births_told: false,
+            past_incarnations: VecDeque::new(),
+            reports_start_time: false,
             fence_used: 0,
-            kept: None,
+            carry_over: None,
             losses: VecDeque::new(),
-            in_doubt: Vec::new(),
-            open_starts: HashMap::new(),
+            suspected_losses: Vec::new(),
+            unanswered_starts: HashMap::new(),
             room: Room::default(),
             headroom: Headroom::default(),
             patience_counts: PatienceCounts::default(),
@@ -263,17 +266,17 @@
             sessions: HashMap::new(),
             runs: BTreeMap::new(),
             queue: BTreeSet::new(),
-            past: HashMap::new(),
-            past_order: VecDeque::new(),
+            ended_runs: HashMap::new(),
+            ended_order: VecDeque::new(),
             unclaimed: BTreeMap::new(),
-            hold_pending: false,
+            poll_pending: false,
             check_pending: false,
             check_wanted: false,
-            misses: 0,
-            hold_misses: 0,
+            missed_answers: 0,
+            missed_polls: 0,
             answered_us: 0,
-            hold_failed_us: None,
-            hold_broke_us: None,
+            poll_failed_us: None,
+            poll_disconnected_us: None,
             leaving: false,
             evacuation: Evacuation::default(),
             load_changed: false,
@@ -282,49 +285,51 @@
         }
     }
 
-    /// What is to be done since the last call.
+    /// Starts queued runs, polls the worker and returns the accumulated actions.
     pub fn take_actions(&mut self, now: Moment) -> Vec<GateAction> {
-        self.fill(now);
-        self.ask_for_lists(now);
-        self.share_load(now);
+        self.start_queued(now);
+        self.poll_worker(now);
+        self.send_loads(now);
         std::mem::take(&mut self.actions)
     }
 
-    /// Run times on the worker against what was expected, in percent.
+    /// Ratio of actual to expected run times on the worker, in percent.
     pub fn slowness_percent(&self) -> u32 {
         self.health.slowness_percent()
     }
 
-    /// Whether nothing waits or runs.
-    pub fn idle(&self) -> bool {
+    /// Whether the gate has no runs.
+    pub fn is_idle(&self) -> bool {
         self.runs.is_empty()
     }
 
-    /// Takes no more work from now on; what runs goes on.
+    /// Refuses new runs from now on; runs on the worker continue.
     pub fn leave(&mut self, now: Moment) {
         self.leaving = true;
         self.load_changed = true;
         self.refuse_queued(now, NotRunReason::Leaving);
     }
 
-    /// Why no run can begin here now.
-    fn closed(&self, now: Moment) -> Option<NotRunReason> {
+    /// Reason why no run can start now, if there is one.
+    fn refusal(&self, now: Moment) -> Option<NotRunReason> {
         if self.leaving {
             return Some(NotRunReason::Leaving);
         }
-        if self.evacuation.bars_starts(now) {
+        if self.evacuation.blocks_starts(now) {
             return Some(NotRunReason::Evacuated);
         }
-        match &self.life {
+        match &self.incarnation {
             None => Some(NotRunReason::NoWorker),
-            Some(life) if life.leaving => Some(NotRunReason::Leaving),
-            Some(life) if life.has_foreign_lease(now) => Some(NotRunReason::NoWorker),
-            Some(_) if self.is_mute(now) => Some(NotRunReason::NoWorker),
+            Some(incarnation) if incarnation.leaving => Some(NotRunReason::Leaving),
+            Some(incarnation) if incarnation.has_inherited_lease(now) => {
+                Some(NotRunReason::NoWorker)
+            }
+            Some(_) if self.is_unresponsive(now) => Some(NotRunReason::NoWorker),
             Some(_) => None,
         }
     }
 
-    /// Bars or stops a run; a queued one just goes.
+    /// Stops a run, or removes it from the queue.
     fn stop(&mut self, now: Moment, run: RunId, cause: StopCause) {
         let Some(record) = self.runs.get_mut(&run) else {
             return;
@@ -346,87 +351,91 @@
             asked_us: now.mono_us,
             acked_us: None,
         };
-        debug!(self.log, "run stopped"; "run" => %run, "cause" => ?cause, "began" => began);
+        debug!(self.log, "stopping run"; "run" => %run, "cause" => ?cause, "began" => began);
         self.send_stop(run);
     }
 
     fn send_stop(&mut self, run: RunId) {
-        if let Some(life) = &self.life {
+        if let Some(incarnation) = &self.incarnation {
             self.actions.push(GateAction::Stop(StopCall {
-                worker: life.id(),
+                worker: incarnation.id(),
                 run,
-                fence: life.fence.unwrap_or(0),
-                limit: self.answers.limit(),
+                fence: incarnation.fence.unwrap_or(0),
+                timeout: self.answers.timeout(),
             }));
         }
     }
 
-    /// A run is over, or never began: tells its owner and gives its room back.
+    /// Ends a run: releases its room and reports the end to its owner.
     fn end(&mut self, now: Moment, run: RunId, end: RunEnd) {
         let Some(record) = self.runs.remove(&run) else {
             return;
         };
-        if let RunState::Queued { place, .. } = record.state {
-            self.queue.remove(&place);
+        if let RunState::Queued { position, .. } = record.state {
+            self.queue.remove(&position);
         }
-        self.room.give_back(run);
+        self.room.release(run);
         let run_us = match end {
             RunEnd::NotRun(_) => 0,
             _ => now.mono_us.saturating_sub(record.since_us),
         };
         match end {
-            RunEnd::Done => self.health.finished(now, run_us, record.expected_us),
-            RunEnd::Failed | RunEnd::Stalled => self.health.went_wrong(),
+            RunEnd::Done => self.health.record_finished(now, run_us, record.expected_us),
+            RunEnd::Failed | RunEnd::Stalled => self.health.record_failure(),
             _ => {}
         }
-        debug!(self.log, "run over"; "run" => %run, "end" => ?end, "run_us" => run_us,
+        debug!(self.log, "run ended"; "run" => %run, "end" => ?end, "run_us" => run_us,
             "expected_us" => record.expected_us);
-        let past = PastRun {
+        let ended = EndedRun {
             owner: record.owner,
             end,
             run_us,
             at_us: now.mono_us,
         };
         self.load_changed = true;
-        self.tell(&past.owner, past.report(run));
-        // The number of a run that never left the gate may be used again.
+        self.send(&ended.owner, ended.report(run));
+        // A run that never reached the worker may be submitted again under the same number.
         if !matches!(end, RunEnd::NotRun(reason) if !reason.reached_worker()) {
-            self.past.insert(run, past);
-            self.past_order.push_back((now.mono_us, run));
+            self.ended_runs.insert(run, ended);
+            self.ended_order.push_back((now.mono_us, run));
         }
     }
 
-    fn forget_past(&mut self, now: Moment) {
-        let oldest_us = now.mono_us.saturating_sub(micros(KEEP_ENDS));
-        while let Some((at_us, run)) = self.past_order.front().copied() {
+    fn expire_ended_runs(&mut self, now: Moment) {
+        let oldest_us = now.mono_us.saturating_sub(micros(ENDED_RUN_RETENTION));
+        while let Some((at_us, run)) = self.ended_order.front().copied() {
             if at_us >= oldest_us {
                 break;
             }
-            self.past_order.pop_front();
-            if self.past.get(&run).is_some_and(|past| past.at_us == at_us) {
-                self.past.remove(&run);
+            self.ended_order.pop_front();
+            if self
+                .ended_runs
+                .get(&run)
+                .is_some_and(|ended| ended.at_us == at_us)
+            {
+                self.ended_runs.remove(&run);
             }
         }
     }
 
-    /// Time has passed.
+    /// Handles timeouts.
     pub fn tick(&mut self, now: Moment) {
         self.expire_owners(now);
-        self.refuse_late(now);
-        self.drop_unclaimed(now);
-        self.stop_again(now);
-        self.end_lapsed(now);
-        self.end_kept(now);
-        self.give_up_mute_life(now);
-        self.forget_past(now);
-        self.health.forget_old(now);
-        if let Some(slow) = self.health.take_turn() {
-            info!(self.log, "worker speed"; "slow" => slow, "usual" => self.health.usual(),
-                "slowness" => self.health.slowness());
+        self.expire_queued(now);
+        self.stop_unclaimed(now);
+        self.resend_stops(now);
+        self.end_expired_lease(now);
+        self.expire_carry_over(now);
+        self.replace_unresponsive(now);
+        self.expire_ended_runs(now);
+        self.health.expire_samples(now);
+        if let Some(slow) = self.health.take_slow_change() {
+            info!(self.log, "worker speed changed"; "slow" => slow,
+                "usual" => self.health.baseline(), "slowness" => self.health.slowness());
         }
     }
 
-    fn stop_again(&mut self, now: Moment) {
+    fn resend_stops(&mut self, now: Moment) {
         let mut sent = Vec::new();
         for (run, record) in &mut self.runs {
             if let RunState::Stopping {
@@ -434,7 +443,7 @@
                 acked_us: None,
                 ..
             } = &mut record.state
-                && now.mono_us > *asked_us + micros(STOP_AGAIN)
+                && now.mono_us > *asked_us + micros(STOP_RETRY_DELAY)
             {
                 *asked_us = now.mono_us;
                 sent.push(*run);
@@ -446,11 +455,14 @@
     }
 
     fn load(&self, now: Moment) -> GateLoad {
-        let usable = self.closed(now).is_none()
+        let usable = self.refusal(now).is_none()
             && self.unclaimed.is_empty()
-            && self.life.as_ref().is_some_and(Life::ready);
+            && self.incarnation.as_ref().is_some_and(Incarnation::is_ready);
         GateLoad {
-            worker: self.life.as_ref().map(|life| life.traits.clone()),
+            worker: self
+                .incarnation
+                .as_ref()
+                .map(|incarnation| incarnation.traits.clone()),
             free: match usable {
                 true => self.room.free(),
                 false => Resources::default(),
@@ -458,15 +470,15 @@
             queues: self.queues(now),
             mean_run_us: self.health.mean_run_us(),
             slowness_percent: self.health.slowness_percent(),
-            suspect: self.health.suspect(),
-            leaving: self.closed(now).is_some(),
-            evacuated: self.evacuation.bars_starts(now),
+            suspect: self.health.is_suspect(),
+            leaving: self.refusal(now).is_some(),
+            evacuated: self.evacuation.blocks_starts(now),
             seen: 0,
         }
     }
 }
 
-impl PastRun {
+impl EndedRun {
     fn report(&self, run: RunId) -> ToEntry {
         ToEntry::Ended {
             run,
@@ -476,9 +488,9 @@
     }
 }
 
-impl Life {
-    /// Whether orders can be sent.
-    fn ready(&self) -> bool {
+impl Incarnation {
+    /// Whether runs can be started.
+    fn is_ready(&self) -> bool {
         self.listed && self.has_clock()
     }
 }
--- a/src/ephemeral/gate/pace.rs
+++ b/src/ephemeral/gate/pace.rs
@@ -1,7 +1,7 @@
-//! How fast runs get on, from how far the worker says they are.
+//! Detects slow or stalled runs from the progress that the worker reports.
 //!
-//! A worker that turns slow shows it in every list, long before its runs end.
-//! What would end much sooner elsewhere is stopped, and its entry moves it.
+//! A run is stopped if it makes no progress, or if it would finish much sooner on another
+//! worker; its entry then moves it.
 
 use std::time::Duration;
 
@@ -12,146 +12,146 @@
 use crate::ephemeral::worker::RunningRow;
 use crate::time::{Moment, micros};
 
-/// Least time between two looks at a run; a run of 60 ms makes half its way.
-const LOOK: Duration = Duration::from_millis(30);
-/// Runs that a measure of the worker's pace needs: run times of single ones are
-/// guessed wrong by half.
-const FEWEST_RUNS: usize = 3;
-/// Shortest time without any progress after which a run counts as standing still:
-/// four looks.
-const STILL: Duration = Duration::from_millis(120);
-/// The same as a part of the expected run time: workers tell whole percents, and a
-/// long run makes its next one only after a while.
-const STILL_SHARE: f64 = 0.08;
-/// Steps of a whole percent, at the run's own rate, that it may miss before it stands
-/// still, where medians tell the worker's speed.
-const STILL_STEPS: f64 = 3.0;
-/// Times the expectation that a long task may take; it makes its first step late.
-const LONG_TASK: f64 = 10.0;
-/// Cost of moving a run beyond the time that its stop may take: orders on the way,
-/// and turns of three loops.
-const MOVE: Duration = Duration::from_millis(30);
-/// Times its run time elsewhere that what is left of a run must take here
-/// before it is moved.
+/// Minimum interval between two progress samples of a run.
+const SAMPLE_INTERVAL: Duration = Duration::from_millis(30);
+/// Runs needed for an estimate of the worker's pace, as single run times are hard to
+/// predict.
+const MIN_RUNS: usize = 3;
+/// Minimum time without progress after which a run counts as stalled.
+const STALL_TIMEOUT: Duration = Duration::from_millis(120);
+/// The same as a fraction of the expected run time: progress is reported in whole percents,
+/// which a long run reaches slowly.
+const STALL_SHARE: f64 = 0.08;
+/// Number of percent steps, at the run's own rate, that a run may miss before it counts as
+/// stalled; used with median speeds.
+const STALL_STEPS: f64 = 3.0;
+/// Factor on the expected run time that a long task may take; it delays the first percent.
+const LONG_TASK_FACTOR: f64 = 10.0;
+/// Cost of moving a run in addition to the time for stopping it.
+const MOVE_COST: Duration = Duration::from_millis(30);
+/// A run is moved if its remaining time here exceeds its run time elsewhere by this factor.
 const MOVE_FACTOR: f64 = 1.3;
 
-/// How far a run was when it was last looked at.
+/// Progress of a run at the last sample.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Mark {
+pub(super) struct ProgressSample {
     at_us: u64,
     percent: u32,
-    /// Since when it has made no progress.
-    still_since_us: u64,
-    /// Time against expected work between the last two looks.
+    /// Time since which there has been no progress.
+    stalled_since_us: u64,
+    /// Ratio of elapsed time to expected work between the last two samples.
     slowness: f64,
 }
 
-impl Mark {
-    pub fn new(at_us: u64, percent: u32) -> Mark {
-        Mark {
+impl ProgressSample {
+    pub fn new(at_us: u64, percent: u32) -> ProgressSample {
+        ProgressSample {
             at_us,
             percent,
-            still_since_us: at_us,
+            stalled_since_us: at_us,
             slowness: 0.0,
         }
     }
 }
 
-/// What one list says of the worker's pace.
+/// Pace of the worker by one listing.
 #[derive(Default)]
 struct Pace {
     runs: usize,
     wall_us: f64,
     work_us: f64,
-    /// Slowness of the run that gets on best.
-    least: f64,
+    /// Slowness of the fastest run.
+    min_slowness: f64,
 }
 
 impl Pace {
     fn add(&mut self, wall_us: f64, work_us: f64) {
         let slowness = wall_us / work_us.max(1.0);
-        self.least = match self.runs {
+        self.min_slowness = match self.runs {
             0 => slowness,
-            _ => self.least.min(slowness),
+            _ => self.min_slowness.min(slowness),
         };
         self.runs += 1;
         self.wall_us += wall_us;
         self.work_us += work_us;
     }
 
-    /// Time against expected work; `None` if too few runs tell. Where medians tell the
-    /// worker's speed, it is as slow as its best run only: long tasks stay for long, so a
-    /// fifth of what runs is long where three in a hundred that begin are.
+    /// Ratio of elapsed time to expected work; `None` if there are too few samples. With
+    /// median speeds the fastest run is used, as long tasks are over-represented among the
+    /// running ones.
     fn slowness(&self, by_median: bool) -> Option<f64> {
-        (self.runs >= FEWEST_RUNS).then_some(match by_median {
-            true => self.least,
+        (self.runs >= MIN_RUNS).then_some(match by_median {
+            true => self.min_slowness,
             false => self.wall_us / self.work_us.max(1.0),
         })
     }
 }
 
 impl Run {
-    /// Compares how far the run is with the last look; `None` if that was too
-    /// short ago.
-    fn look(&mut self, now: Moment, percent: u32) -> Option<(f64, f64)> {
-        let Some(mark) = &mut self.mark else {
-            self.mark = Some(Mark::new(now.mono_us, percent));
+    /// Samples the progress; returns elapsed time and expected work since the last sample,
+    /// or `None` if that is too recent.
+    fn sample_progress(&mut self, now: Moment, percent: u32) -> Option<(f64, f64)> {
+        let Some(sample) = &mut self.last_sample else {
+            self.last_sample = Some(ProgressSample::new(now.mono_us, percent));
             return None;
         };
-        let wall_us = now.mono_us.saturating_sub(mark.at_us);
-        if wall_us < micros(LOOK) {
+        let wall_us = now.mono_us.saturating_sub(sample.at_us);
+        if wall_us < micros(SAMPLE_INTERVAL) {
             return None;
         }
-        let gained = percent.saturating_sub(mark.percent);
+        let gained = percent.saturating_sub(sample.percent);
         if gained > 0 {
-            mark.still_since_us = now.mono_us;
+            sample.stalled_since_us = now.mono_us;
         }
-        mark.at_us = now.mono_us;
-        mark.percent = percent;
+        sample.at_us = now.mono_us;
+        sample.percent = percent;
         let work_us = f64::from(gained) / 100.0 * self.expected_us as f64;
-        mark.slowness = wall_us as f64 / work_us.max(1.0);
+        sample.slowness = wall_us as f64 / work_us.max(1.0);
         Some((wall_us as f64, work_us))
     }
 
-    fn stands_still(&self, now: Moment, by_median: bool) -> bool {
-        let since_us = self.mark.map_or(now.mono_us, |mark| mark.still_since_us);
-        let share_us = (self.expected_us as f64 * STILL_SHARE) as u64;
+    fn has_stalled(&self, now: Moment, by_median: bool) -> bool {
+        let since_us = self
+            .last_sample
+            .map_or(now.mono_us, |sample| sample.stalled_since_us);
+        let share_us = (self.expected_us as f64 * STALL_SHARE) as u64;
         let own_us = match by_median {
-            true => (self.step_us() * STILL_STEPS) as u64,
+            true => (self.step_us() * STALL_STEPS) as u64,
             false => 0,
         };
-        now.mono_us > since_us + share_us.max(micros(STILL)).max(own_us)
+        now.mono_us > since_us + share_us.max(micros(STALL_TIMEOUT)).max(own_us)
     }
 
-    /// Time in which it makes one percent at its own rate, or as a long task before the
-    /// first one, in microseconds.
+    /// Time per percent of progress at the run's own rate, or at that of a long task before
+    /// the first percent, in microseconds.
     fn step_us(&self) -> f64 {
-        match self.mark {
-            Some(mark) if mark.percent > 0 => {
-                let took_us = mark.still_since_us.saturating_sub(self.since_us);
-                took_us as f64 / f64::from(mark.percent)
+        match self.last_sample {
+            Some(sample) if sample.percent > 0 => {
+                let took_us = sample.stalled_since_us.saturating_sub(self.since_us);
+                took_us as f64 / f64::from(sample.percent)
             }
-            _ => self.expected_us as f64 * LONG_TASK / 100.0,
+            _ => self.expected_us as f64 * LONG_TASK_FACTOR / 100.0,
         }
     }
 
-    /// Whether it made less way between the last two looks than on a worker of the given
-    /// slowness.
-    fn gets_on_slower_than(&self, slowness: f64) -> bool {
-        self.mark
-            .is_some_and(|mark| mark.slowness > slowness * MOVE_FACTOR)
+    /// Whether it progressed less between the last two samples than on a worker of the
+    /// given slowness.
+    fn is_slower_than(&self, slowness: f64) -> bool {
+        self.last_sample
+            .is_some_and(|sample| sample.slowness > slowness * MOVE_FACTOR)
     }
 
-    /// Time that the run needs on a worker of the given slowness, in microseconds.
-    fn left_at(&self, slowness: f64) -> f64 {
-        let done = self.mark.map_or(0, |mark| mark.percent.min(100));
+    /// Time that the rest of the run takes on a worker of the given slowness, in
+    /// microseconds.
+    fn time_left_us(&self, slowness: f64) -> f64 {
+        let done = self.last_sample.map_or(0, |sample| sample.percent.min(100));
         f64::from(100 - done) / 100.0 * self.expected_us as f64 * slowness
     }
 }
 
 impl Gate {
-    /// Learns from how far runs are; stops those that do not get on.
-    pub(super) fn watch_pace(&mut self, now: Moment, running: &[RunningRow]) {
+    /// Updates the worker's pace from the listed progress and stops stalled runs.
+    pub(super) fn update_pace(&mut self, now: Moment, running: &[RunningRow]) {
         let mut pace = Pace::default();
         for row in running {
             let Some(record) = self.runs.get_mut(&row.run) else {
@@ -160,40 +160,40 @@
             if record.state != RunState::Running {
                 continue;
             }
-            if let Some((wall_us, work_us)) = record.look(now, row.percent) {
+            if let Some((wall_us, work_us)) = record.sample_progress(now, row.percent) {
                 pace.add(wall_us, work_us);
             }
         }
         if let Some(slowness) = pace.slowness(self.health.by_median()) {
-            self.health.paced(now, slowness);
+            self.health.record_pace(now, slowness);
         }
-        for run in self.to_move(now) {
+        for run in self.runs_to_stop(now) {
             self.stop(now, run, StopCause::Stalled);
         }
     }
 
-    /// Runs that stand still, or that would end much sooner elsewhere.
-    fn to_move(&self, now: Moment) -> Vec<RunId> {
-        let (here, usual) = (self.health.slowness(), self.health.usual());
+    /// Runs that are stalled, or that would finish much sooner on another worker.
+    fn runs_to_stop(&self, now: Moment) -> Vec<RunId> {
+        let (here, baseline) = (self.health.slowness(), self.health.baseline());
         let (slow, by_median) = (self.health.is_slow(), self.health.by_median());
-        let move_us = micros(self.limits.stop + MOVE) as f64;
+        let move_us = micros(self.limits.stop + MOVE_COST) as f64;
         let too_slow = |record: &Run| {
-            let elsewhere_us = record.expected_us as f64 * usual * MOVE_FACTOR + move_us;
-            let moves = slow && record.movable && record.left_at(here) > elsewhere_us;
-            moves && (!by_median || record.gets_on_slower_than(usual))
+            let elsewhere_us = record.expected_us as f64 * baseline * MOVE_FACTOR + move_us;
+            let moves = slow && record.movable && record.time_left_us(here) > elsewhere_us;
+            moves && (!by_median || record.is_slower_than(baseline))
         };
         let running = self
             .runs
             .iter()
             .filter(|(_, record)| record.state == RunState::Running);
         let found =
-            running.filter(|(_, record)| record.stands_still(now, by_median) || too_slow(record));
+            running.filter(|(_, record)| record.has_stalled(now, by_median) || too_slow(record));
         found
             .map(|(run, record)| {
-                info!(self.log, "run does not get on"; "run" => %run,
-                    "percent" => record.mark.map(|mark| mark.percent),
+                info!(self.log, "stopping slow or stalled run"; "run" => %run,
+                    "percent" => record.last_sample.map(|sample| sample.percent),
                     "elapsed_us" => now.mono_us.saturating_sub(record.since_us),
-                    "expected_us" => record.expected_us, "slowness" => here, "usual" => usual);
+                    "expected_us" => record.expected_us, "slowness" => here, "usual" => baseline);
                 *run
             })
             .collect()
--- a/src/ephemeral/gate/patience.rs
+++ b/src/ephemeral/gate/patience.rs
@@ -1,122 +1,127 @@
-//! How long a run waits for room, by when it is expected to begin.
+//! Adjusts how long queued runs wait, by the forecast of free room.
 //!
-//! An entry sets the patience of a run by a load that may be old. Where the gate's own
-//! forecast says otherwise, a run that would begin in time waits although its entry
-//! expected room at once, and one that would not goes back before its patience ends. Both
-//! hold for runs that leave headroom only.
+//! An entry chooses the patience of a run from a load report that may be outdated. A run
+//! that is forecast to start in time is queued even if its entry gave it no patience, and
+//! one that is forecast to start too late is returned early. Only runs that leave headroom
+//! are adjusted.
 
 use slog::debug;
 
-use super::queue::Place;
+use super::queue::QueuePosition;
 use super::{Gate, Run, RunState};
 use crate::ephemeral::job::{Priority, RunId};
 use crate::ephemeral::message::{NotRunReason, RunEnd, StartOrder};
 use crate::metrics::Metrics;
 use crate::time::Moment;
 
-/// Part of the time until a run should begin that it is expected to wait at most, where
-/// its entry expected room at once.
-const HOLD_SHARE: f64 = 0.8;
-/// Times the expected wait after which a run goes back; run times vary.
+/// Maximum forecast wait of a held run, as a fraction of the time until it is due.
+const MAX_HOLD_SHARE: f64 = 0.8;
+/// Factor on the forecast wait after which a held run is returned; run times vary.
 const WAIT_MARGIN: f64 = 1.5;
-/// Shortest wait of a run that is held, in microseconds; two round trips.
-const LEAST_WAIT_US: u64 = 10_000;
-/// Part of its patience that a run is expected to wait at most.
-const WAIT_SHARE: f64 = 0.8;
-/// Expected wait that no run goes back for, in microseconds: a try elsewhere takes as long.
+/// Shortest hold time, in microseconds; allows for two round trips.
+const MIN_HOLD_US: u64 = 10_000;
+/// Maximum forecast wait of a run, as a fraction of its remaining patience.
+const MAX_WAIT_SHARE: f64 = 0.8;
+/// Forecast wait that is always accepted, in microseconds, as a retry on another gate takes
+/// as long.
 const SHORT_WAIT_US: u64 = 10_000;
-/// The same as a part of the run time: a long run gains little at another gate.
+/// The same as a fraction of the run time: a long run gains little on another gate.
 const SHORT_WAIT_SHARE: f64 = 0.1;
 
-/// Runs whose patience the forecast has changed.
+/// Counts of runs whose patience was changed.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct PatienceCounts {
-    /// Kept, although their entries expected room at once.
+    /// Held although their entry gave them no patience.
     pub held: u64,
-    /// Sent back early.
+    /// Returned before their patience ended.
     pub sent_back: u64,
 }
 
 impl Gate {
-    /// Compares the wait that the entry of a new run expects with the forecast.
-    pub(super) fn adjust_patience(&mut self, now: Moment, place: &Place, order: &StartOrder) {
+    /// Holds a new run or returns queued ones, according to the forecast.
+    pub(super) fn adjust_patience(
+        &mut self,
+        now: Moment,
+        position: &QueuePosition,
+        order: &StartOrder,
+    ) {
         if !order.leaves_headroom {
             return;
         }
-        self.fill(now);
-        if order.patience_us == 0 && place.priority != Priority::SPARE_ROOM {
-            self.hold(now, place, order.due_us);
+        self.start_queued(now);
+        if order.patience_us == 0 && position.priority != Priority::SPARE_ROOM {
+            self.hold_run(now, position, order.due_us);
         }
-        self.send_back_hopeless(now);
+        self.send_back_late(now);
     }
 
-    /// Keeps a run that found no room if it is expected to begin in time.
-    fn hold(&mut self, now: Moment, place: &Place, due_us: u64) {
-        if !self.queue.contains(place) {
+    /// Holds a run without patience if it is forecast to start in time.
+    fn hold_run(&mut self, now: Moment, position: &QueuePosition, due_us: u64) {
+        if !self.queue.contains(position) {
             return;
         }
-        let ahead = self.queue.range(..=*place);
-        let ahead = ahead.map(|place| self.runs[&place.run].needs.cpu_milli);
-        let wanted = ahead.sum::<u64>() + self.headroom_of(now, place);
+        let ahead = self.queue.range(..=*position);
+        let ahead = ahead.map(|position| self.runs[&position.run].needs.cpu_milli);
+        let wanted = ahead.sum::<u64>() + self.headroom_of(now, position);
         let wait_us = self.forecast(now).wait_us(wanted);
-        if wait_us == 0 || wait_us as f64 > due_us as f64 * HOLD_SHARE {
+        if wait_us == 0 || wait_us as f64 > due_us as f64 * MAX_HOLD_SHARE {
             return;
         }
-        let held_us = (wait_us as f64 * WAIT_MARGIN) as u64 + LEAST_WAIT_US;
-        if let Some(record) = self.runs.get_mut(&place.run) {
-            debug!(self.log, "run held"; "run" => %place.run, "wait_us" => wait_us);
+        let held_us = (wait_us as f64 * WAIT_MARGIN) as u64 + MIN_HOLD_US;
+        if let Some(record) = self.runs.get_mut(&position.run) {
+            debug!(self.log, "run held by forecast"; "run" => %position.run, "wait_us" => wait_us);
             record.state = RunState::Queued {
-                place: *place,
+                position: *position,
                 until_us: now.mono_us + held_us.min(due_us),
             };
             self.patience_counts.held += 1;
         }
     }
 
-    /// Sends waiting runs back that are not expected to begin within their patience.
-    fn send_back_hopeless(&mut self, now: Moment) {
-        for run in self.hopeless(now) {
-            debug!(self.log, "run sent back"; "run" => %run);
+    /// Returns queued runs that are not forecast to start within their patience.
+    fn send_back_late(&mut self, now: Moment) {
+        for run in self.runs_forecast_late(now) {
+            debug!(self.log, "run returned by forecast"; "run" => %run);
             self.patience_counts.sent_back += 1;
             self.end(now, run, RunEnd::NotRun(NotRunReason::NoRoom));
         }
     }
 
-    /// Adds what waits here, and how it was decided on since the last call, to the figures.
-    pub fn show_queue(&mut self, now: Moment, metrics: &Metrics) {
+    /// Exports the queue metrics and resets the counters.
+    pub fn report_queue_metrics(&mut self, now: Moment, metrics: &Metrics) {
         let counts = std::mem::take(&mut self.patience_counts);
         metrics.count("runs_held", counts.held);
         metrics.count("runs_sent_back", counts.sent_back);
         metrics.gauge("runs_waiting", self.queue.len() as u64);
-        let last = self.headroom.usual(Priority::SPARE_ROOM);
+        let last = self.headroom.typical_run(Priority::SPARE_ROOM);
         let headroom = self.headroom_for(now, &last);
         metrics.gauge("headroom_cpu_milli", headroom);
     }
 
-    fn hopeless(&self, now: Moment) -> Vec<RunId> {
+    fn runs_forecast_late(&self, now: Moment) -> Vec<RunId> {
         let forecast = self.forecast(now);
         let mut ahead = 0;
-        let mut hopeless = Vec::new();
-        for place in &self.queue {
-            let record = &self.runs[&place.run];
+        let mut late = Vec::new();
+        for position in &self.queue {
+            let record = &self.runs[&position.run];
             let RunState::Queued { until_us, .. } = record.state else {
                 continue;
             };
             let wanted = ahead + record.needs.cpu_milli;
-            let wait_us = forecast.wait_us(wanted + self.headroom_of(now, place));
+            let wait_us = forecast.wait_us(wanted + self.headroom_of(now, position));
             if record.leaves_headroom && wait_us > longest_wait_us(now, record, until_us) {
-                hopeless.push(place.run);
+                late.push(position.run);
             } else {
                 ahead = wanted;
             }
         }
-        hopeless
+        late
     }
 }
 
-/// Expected wait beyond which a run that waits until `until_us` goes back, in microseconds.
+/// Longest acceptable forecast wait of a run that waits until `until_us`, in microseconds.
 fn longest_wait_us(now: Moment, record: &Run, until_us: u64) -> u64 {
     let patience_us = until_us.saturating_sub(now.mono_us) as f64;
     let short_us = (record.expected_us as f64 * SHORT_WAIT_SHARE).max(SHORT_WAIT_US as f64);
-    (patience_us * WAIT_SHARE + short_us) as u64
+    (patience_us * MAX_WAIT_SHARE + short_us) as u64
 }
--- /dev/null
+++ b/src/ephemeral/gate/pause.rs
@@ -0,0 +1,54 @@
+//! Longest time that the host loop of a gate may wait for an event.
+//!
+//! Starts, answers and closed sessions are events. Due heartbeats and expiring entries have
+//! known times; calls in flight and queued runs need regular ticks.
+
+use std::time::Duration;
+
+use super::sessions::Owner;
+use super::{Gate, RunState};
+use crate::ephemeral::message::ProcessId;
+use crate::time::{Moment, micros};
+
+/// Longest wait while runs are queued or calls are in flight, or the worker leaves calls
+/// unanswered.
+const BUSY_PAUSE: Duration = Duration::from_millis(10);
+/// Longest wait otherwise; state expires after seconds.
+const IDLE_PAUSE: Duration = Duration::from_millis(50);
+
+impl Gate {
+    /// Longest time until [`Gate::tick`] and [`Gate::take_actions`] must be called without
+    /// an event.
+    pub fn longest_pause(&self, now: Moment) -> Duration {
+        let longest = match self.is_settled() {
+            true => IDLE_PAUSE,
+            false => BUSY_PAUSE,
+        };
+        let owners = self.owners.iter();
+        let due_us = owners.map(|(entry, owner)| self.owner_due_us(now, entry, owner));
+        let next = due_us.min().map_or(longest, |due_us| now.left(due_us));
+        next.min(longest)
+    }
+
+    /// Whether all runs are running and the worker answers.
+    fn is_settled(&self) -> bool {
+        let mut runs = self.runs.values();
+        self.unclaimed.is_empty()
+            && self.missed_answers == 0
+            && self.successor.is_none()
+            && runs.all(|run| run.state == RunState::Running)
+    }
+
+    /// Time at which a load report to the entry is due or the entry expires.
+    fn owner_due_us(&self, now: Moment, entry: &ProcessId, owner: &Owner) -> u64 {
+        let silence = match self.has_active_runs(entry) {
+            true => self.limits.silence,
+            false => self.limits.idle_silence,
+        };
+        let gone_us = owner.last_seen_us + micros(silence) + 1;
+        match owner.session {
+            Some(_) => gone_us.min(self.load_due_us(now, owner)),
+            None => gone_us,
+        }
+    }
+}
--- a/src/ephemeral/gate/progress.rs
+++ b/src/ephemeral/gate/progress.rs
@@ -1,140 +1,140 @@
-//! What the worker answers: starts, stops, and the lists of what runs and ended.
+//! Handling of the worker's answers to starts, stops and polls.
 
 use std::time::Duration;
 
 use slog::{debug, info, warn};
 
-use super::restart::AnsweringLife;
-use super::worker_life::LifeEnd;
+use super::restart::AnsweredBy;
+use super::worker_incarnations::IncarnationEnd;
 use super::{Gate, GateAction, RunState, StopCause};
 use crate::ephemeral::job::RunId;
 use crate::ephemeral::message::{NotRunReason, RunEnd, ToEntry};
 use crate::ephemeral::worker::{
-    EndedRow, HoldCall, HoldReply, OrderError, RunningRow, StartAnswer, StartReply, WorkerEnd,
+    EndedRow, PollCall, PollReply, RunningRow, StartAnswer, StartReply, WorkerCallError, WorkerEnd,
 };
 use crate::ephemeral::worker_id::WorkerId;
 use crate::time::{Moment, micros};
 
-/// Wait of a hold for an end while something runs: a hold may be lost, and no end
-/// is seen until the next one.
-pub(super) const BUSY_WAIT: Duration = Duration::from_millis(50);
-/// Times that a start without an answer is sent again, before the worker is asked to
-/// bar it and the run goes elsewhere. The worker takes a second copy of an order for
-/// the first, whichever comes, also seconds later; so a lost order costs its run one
-/// wait for an answer instead of three, and it keeps its place. With a fifth of all
-/// orders lost, 95 of 100 first starts come within 37 ms instead of 87, and 187 of
-/// 1,054 jobs of eight short tasks are late instead of 340 (one play each).
-const MOST_RESENT: u32 = 2;
-/// Pause after a hold that was not answered, before the worker is asked again.
-const HOLD_PAUSE: Duration = Duration::from_millis(20);
-/// Unanswered holds in a row from which the pause doubles with each: a single call may be
-/// lost, and runs whose end is not seen hold up their jobs.
-const HOLD_MISSES: u32 = 2;
-/// Most times that it doubles: to 320 ms, half of the shortest lease that is given. A worker
-/// that breaks each connection off is dialed 4 times a second then, and 50 times without.
-const MOST_DOUBLINGS: u32 = 4;
-/// Wait of a hold while nothing runs.
-const IDLE_WAIT: Duration = Duration::from_millis(200);
+/// Longest time that the worker holds a poll open while there are runs. A poll may be lost,
+/// and ends are only seen by the next one.
+pub(super) const BUSY_POLL_WAIT: Duration = Duration::from_millis(50);
+/// Number of times that an unanswered start is repeated before the run is stopped. The
+/// worker treats repeated starts of a run as one.
+const MAX_START_RESENDS: u32 = 2;
+/// Delay before an unanswered poll is repeated.
+const POLL_RETRY_DELAY: Duration = Duration::from_millis(20);
+/// Consecutive unanswered polls that are repeated without backoff, as single calls may be
+/// lost.
+const POLL_MISSES_BEFORE_BACKOFF: u32 = 2;
+/// Cap on the doublings of [`POLL_RETRY_DELAY`]; keeps the delay below the shortest lease.
+const MAX_BACKOFF_DOUBLINGS: u32 = 4;
+/// Longest time that the worker holds a poll open while there are no runs.
+const IDLE_POLL_WAIT: Duration = Duration::from_millis(200);
+
 impl Gate {
-    /// The worker answered a start that was meant for its life `worker`, or did not. What
-    /// comes of an order to an earlier life tells of that one alone: that nothing listens
-    /// there any more says nothing of the present one.
+    /// Handles the outcome of a start that was sent to the incarnation `worker`. The
+    /// outcome of a start sent to an earlier incarnation says nothing about the current
+    /// one.
     pub fn start_answered(
         &mut self,
         now: Moment,
         worker: &WorkerId,
         run: RunId,
-        answer: Result<StartAnswer, OrderError>,
+        answer: Result<StartAnswer, WorkerCallError>,
     ) {
-        self.answer_of_lost(run, &answer);
-        if !self.is_present(worker) {
-            debug!(self.log, "answer for a past life"; "run" => %run, "worker" => %worker);
+        self.resolve_unanswered_start(run, &answer);
+        if !self.is_current(worker) {
+            debug!(self.log, "ignored answer of past incarnation"; "run" => %run,
+                "worker" => %worker);
             return;
         }
-        let answer = answer.map(|answer| self.hear_clock(now, answer));
-        self.note_answer(now, answer.is_ok());
+        let answer = answer.map(|answer| self.check_clock(now, answer));
+        self.record_answer(now, answer.is_ok());
         let state = self.runs.get(&run).map(|record| record.state);
         let starting = matches!(state, Some(RunState::Starting { .. }));
         let was_resent = matches!(state, Some(RunState::Starting { resent, .. }) if resent > 0);
         if let Some(RunState::Starting { asked_us, resent }) = state {
             match &answer {
-                Ok(_) => self.answers.learn(now.mono_us.saturating_sub(asked_us)),
-                Err(_) => self.answers.missed(),
+                Ok(_) => self.answers.record(now.mono_us.saturating_sub(asked_us)),
+                Err(_) => self.answers.record_miss(),
             }
-            let unanswered = matches!(answer, Err(OrderError::Unanswered));
+            let unanswered = matches!(answer, Err(WorkerCallError::Unanswered));
             let wanted = self.runs.get(&run).is_some_and(|record| {
-                // After standing still this gate may hear of answers first and of the
-                // time that has passed afterwards.
-                self.is_heard(now, &record.owner)
+                // After a stall of this process, an answer may be handled before the expiry
+                // of its entry.
+                self.is_entry_alive(now, &record.owner)
             });
-            let barred = self.is_mute(now) || self.evacuation.bars_starts(now);
-            if unanswered && wanted && resent < MOST_RESENT && !barred {
-                info!(self.log, "start sent again"; "run" => %run, "resent" => resent + 1);
+            let blocked = self.is_unresponsive(now) || self.evacuation.blocks_starts(now);
+            if unanswered && wanted && resent < MAX_START_RESENDS && !blocked {
+                info!(self.log, "start repeated"; "run" => %run, "resent" => resent + 1);
                 self.send_start(now, run, resent + 1);
                 return;
             }
         }
         match answer.map(|answer| answer.reply) {
-            Ok(StartReply::Running) if starting => self.began(run),
+            Ok(StartReply::Running) if starting => self.mark_running(run),
             Ok(StartReply::Running) => {}
-            // The first copy may have run, or still may: only the lists tell.
-            Ok(StartReply::Old | StartReply::Rejected) if was_resent => {
+            // The first attempt may have succeeded; the next listing tells.
+            Ok(StartReply::Stale | StartReply::Rejected) if was_resent => {
                 self.stop(now, run, StopCause::Unanswered);
             }
-            Ok(reply @ (StartReply::Old | StartReply::Rejected)) if starting => {
+            Ok(reply @ (StartReply::Stale | StartReply::Rejected)) if starting => {
                 info!(self.log, "start rejected"; "run" => %run, "reply" => ?reply);
                 self.end(now, run, RunEnd::NotRun(NotRunReason::Rejected));
             }
-            Ok(StartReply::Old | StartReply::Rejected) => {}
-            Ok(StartReply::OtherLife) | Err(OrderError::OtherLife) => self.check_wanted = true,
-            Err(OrderError::Refused) => self.life_is_over(now, LifeEnd::NothingListens),
+            Ok(StartReply::Stale | StartReply::Rejected) => {}
+            Ok(StartReply::OtherIncarnation) | Err(WorkerCallError::OtherIncarnation) => {
+                self.check_wanted = true
+            }
+            Err(WorkerCallError::Refused) => {
+                self.incarnation_ended(now, IncarnationEnd::NothingListens)
+            }
             Err(err) if starting => {
-                info!(self.log, "start unanswered"; "run" => %run, "error" => %err);
+                info!(self.log, "start failed"; "run" => %run, "error" => %err);
                 self.stop(now, run, StopCause::Unanswered);
             }
             Err(_) => {}
         }
     }
 
-    /// Takes in the clock of an answer to a start. One that reads less than the present life
-    /// has reached is that of the next one, which has started again under the same name.
-    fn hear_clock(&mut self, now: Moment, answer: StartAnswer) -> StartAnswer {
-        let (Some(life), Some(clock_ms)) = (&mut self.life, answer.clock_ms) else {
+    /// Updates the worker's clock from an answer to a start. A clock that reads less than
+    /// expected belongs to a later incarnation of the same name.
+    fn check_clock(&mut self, now: Moment, answer: StartAnswer) -> StartAnswer {
+        let (Some(incarnation), Some(clock_ms)) = (&mut self.incarnation, answer.clock_ms) else {
             return answer;
         };
-        if life.is_past(now, clock_ms) {
-            info!(self.log, "worker's clock started anew"; "clock_ms" => clock_ms);
+        if incarnation.is_clock_reset(now, clock_ms) {
+            info!(self.log, "worker clock was reset"; "clock_ms" => clock_ms);
             return StartAnswer {
-                reply: StartReply::OtherLife,
+                reply: StartReply::OtherIncarnation,
                 ..answer
             };
         }
-        life.heard_clock(now, clock_ms);
+        incarnation.update_clock(now, clock_ms);
         answer
     }
 
-    fn began(&mut self, run: RunId) {
+    fn mark_running(&mut self, run: RunId) {
         let Some(record) = self.runs.get_mut(&run) else {
             return;
         };
         record.state = RunState::Running;
         let owner = record.owner.clone();
-        self.tell(&owner, ToEntry::Began { run });
+        self.send(&owner, ToEntry::Began { run });
     }
 
-    /// The worker answered an order to stop that was meant for its life `worker`, or did
-    /// not.
+    /// Handles the outcome of a stop that was sent to the incarnation `worker`.
     pub fn stop_answered(
         &mut self,
         now: Moment,
         worker: &WorkerId,
         run: RunId,
-        answer: Result<(), OrderError>,
+        answer: Result<(), WorkerCallError>,
     ) {
-        if !self.is_present(worker) {
+        if !self.is_current(worker) {
             return;
         }
-        self.note_answer(now, answer.is_ok());
+        self.record_answer(now, answer.is_ok());
         match answer {
             Ok(()) => {
                 self.check_wanted = true;
@@ -144,145 +144,149 @@
                     *acked_us = Some(now.mono_us);
                 }
             }
-            Err(OrderError::OtherLife) => self.check_wanted = true,
-            Err(OrderError::Refused) => self.life_is_over(now, LifeEnd::NothingListens),
+            Err(WorkerCallError::OtherIncarnation) => self.check_wanted = true,
+            Err(WorkerCallError::Refused) => {
+                self.incarnation_ended(now, IncarnationEnd::NothingListens)
+            }
             Err(err) => {
-                debug!(self.log, "stop unanswered"; "run" => %run, "error" => %err);
+                debug!(self.log, "stop failed"; "run" => %run, "error" => %err);
                 self.stop_unanswered(now, run);
             }
         }
     }
 
-    /// Sends an order to stop again, if it is still wanted. One that broke off is sent again
-    /// after a while, like one without any answer: the next would break off as well.
+    /// Repeats an unanswered stop, but no sooner than after the answer timeout: a stop that
+    /// failed at once would fail again.
     fn stop_unanswered(&mut self, now: Moment, run: RunId) {
-        let limit_us = micros(self.answers.limit());
+        let timeout_us = micros(self.answers.timeout());
         if let Some(record) = self.runs.get_mut(&run)
             && let RunState::Stopping {
                 acked_us: None,
                 asked_us,
                 ..
             } = &mut record.state
-            && now.mono_us >= *asked_us + limit_us
+            && now.mono_us >= *asked_us + timeout_us
         {
             *asked_us = now.mono_us;
             self.send_stop(run);
         }
     }
 
-    /// Keeps one hold waiting at the worker, and asks at once where a run's end
-    /// has to be confirmed.
-    pub(super) fn ask_for_lists(&mut self, now: Moment) {
+    /// Keeps one poll open at the worker, and sends a second one that returns at once when
+    /// the end of a run has to be confirmed.
+    pub(super) fn poll_worker(&mut self, now: Moment) {
         let lease = self.limits.lease;
-        let mute = self.is_mute(now);
+        let unresponsive = self.is_unresponsive(now);
         let busy = !self.runs.is_empty();
-        // A run without an owner must not outlive the lease that its last gate gave.
+        // A run without an owner must not outlive the lease that its previous gate granted.
         let orphans = !self.unclaimed.is_empty();
-        let Some(life) = &mut self.life else {
+        let Some(incarnation) = &mut self.incarnation else {
             return;
         };
-        let wait = match (life.listed && !mute, busy) {
+        let wait = match (incarnation.listed && !unresponsive, busy) {
             (false, _) => Duration::ZERO,
-            (true, true) => BUSY_WAIT,
-            (true, false) => IDLE_WAIT,
+            (true, true) => BUSY_POLL_WAIT,
+            (true, false) => IDLE_POLL_WAIT,
         };
         let wait_ms = wait.as_millis() as u64;
-        let retry = hold_pause(self.hold_misses);
-        let lease_until = |life: &mut super::Life| {
-            let renews = life.has_clock() && life.listed && !mute && !orphans;
-            renews.then(|| life.lease_until(now, lease))
+        let retry_delay = poll_retry_delay(self.missed_polls);
+        let lease_until = |incarnation: &mut super::Incarnation| {
+            let renews = incarnation.has_clock() && incarnation.listed && !unresponsive && !orphans;
+            renews.then(|| incarnation.lease_until(now, lease))
         };
-        if !self.hold_pending {
-            self.hold_pending = true;
-            let call = HoldCall {
-                worker: Some(life.id()),
-                fence: life.fence,
-                lease_until_ms: lease_until(life),
-                acked_end: life.acked_end,
+        if !self.poll_pending {
+            self.poll_pending = true;
+            let call = PollCall {
+                worker: Some(incarnation.id()),
+                fence: incarnation.fence,
+                lease_until_ms: lease_until(incarnation),
+                acked_end: incarnation.acked_end,
                 wait_ms,
-                limit: self.answers.limit(),
-                retry,
+                timeout: self.answers.timeout(),
+                retry_delay,
                 check: false,
             };
-            self.actions.push(GateAction::Hold(call));
+            self.actions.push(GateAction::Poll(call));
         } else if self.check_wanted && !self.check_pending {
             self.check_wanted = false;
             self.check_pending = true;
-            let call = HoldCall {
-                worker: Some(life.id()),
-                fence: life.fence,
+            let call = PollCall {
+                worker: Some(incarnation.id()),
+                fence: incarnation.fence,
                 lease_until_ms: None,
-                acked_end: life.acked_end,
+                acked_end: incarnation.acked_end,
                 wait_ms: 0,
-                limit: self.answers.limit(),
-                retry,
+                timeout: self.answers.timeout(),
+                retry_delay,
                 check: true,
             };
-            self.actions.push(GateAction::Hold(call));
+            self.actions.push(GateAction::Poll(call));
         }
     }
 
-    /// The worker listed its runs, or did not; `sent` is when it was asked.
-    pub fn hold_answered(
+    /// Handles the outcome of a poll that was sent at `sent`.
+    pub fn poll_answered(
         &mut self,
         now: Moment,
         sent: Moment,
-        call: &HoldCall,
-        answer: Result<HoldReply, OrderError>,
+        call: &PollCall,
+        answer: Result<PollReply, WorkerCallError>,
     ) {
         match call.check {
             true => self.check_pending = false,
-            false => self.hold_pending = false,
+            false => self.poll_pending = false,
         }
-        let current = self.life.as_ref().map(super::Life::id);
+        let current = self.incarnation.as_ref().map(super::Incarnation::id);
         if current != call.worker {
             return;
         }
-        let by = answer.as_ref().ok().map(|reply| self.answering_life(reply));
+        let by = answer.as_ref().ok().map(|reply| self.answered_by(reply));
         let answer = match by {
-            Some(AnsweringLife::Unknown) => Err(OrderError::Protocol),
+            Some(AnsweredBy::Unknown) => Err(WorkerCallError::Protocol),
             _ => answer,
         };
-        self.note_answer(now, answer.is_ok());
-        self.hold_misses = match answer.is_ok() {
+        self.record_answer(now, answer.is_ok());
+        self.missed_polls = match answer.is_ok() {
             true => 0,
-            false => self.hold_misses.saturating_add(1),
+            false => self.missed_polls.saturating_add(1),
         };
         match answer {
-            Ok(_) if by == Some(AnsweringLife::Another) => {
-                self.keep_runs(now, call.lease_until_ms.is_some());
-                self.life_is_past(now);
+            Ok(_) if by == Some(AnsweredBy::Another) => {
+                self.begin_carry_over(now, call.lease_until_ms.is_some());
+                self.incarnation_replaced(now);
             }
             Ok(reply) => {
-                self.in_doubt.clear();
+                self.suspected_losses.clear();
                 self.dismiss_successor(sent.mono_us);
-                self.listed(now, sent, call, reply);
+                self.apply_listing(now, sent, call, reply);
+            }
+            Err(WorkerCallError::OtherIncarnation) => self.incarnation_replaced(now),
+            Err(WorkerCallError::Refused) => {
+                self.incarnation_ended(now, IncarnationEnd::NothingListens)
             }
-            Err(OrderError::OtherLife) => self.life_is_past(now),
-            Err(OrderError::Refused) => self.life_is_over(now, LifeEnd::NothingListens),
-            Err(err) => warn!(self.log, "hold unanswered"; "error" => %err),
+            Err(err) => warn!(self.log, "poll failed"; "error" => %err),
         }
     }
 
-    fn listed(&mut self, now: Moment, sent: Moment, call: &HoldCall, reply: HoldReply) {
-        let Some(life) = &mut self.life else {
+    fn apply_listing(&mut self, now: Moment, sent: Moment, call: &PollCall, reply: PollReply) {
+        let Some(incarnation) = &mut self.incarnation else {
             return;
         };
-        life.heard_clock(now, reply.clock_ms);
+        incarnation.update_clock(now, reply.clock_ms);
         if reply.fenced || call.fence.is_none() {
-            // Lists count only once earlier gates can change them no more.
-            self.fence_used = life.choose_fence(&reply, self.fence_used);
+            // Listings are only valid once the worker rejects calls of earlier gates.
+            self.fence_used = incarnation.choose_fence(&reply, self.fence_used);
             info!(self.log, "fencing token chosen"; "fence" => self.fence_used);
             return;
         }
-        if call.fence != life.fence {
+        if call.fence != incarnation.fence {
             return;
         }
-        let first = !life.listed;
-        life.listed = true;
-        let acked_end = life.acked_end;
+        let first = !incarnation.listed;
+        incarnation.listed = true;
+        let acked_end = incarnation.acked_end;
         for row in reply.ended.iter().filter(|row| row.number > acked_end) {
-            self.worker_ended(now, row);
+            self.apply_ended(now, row);
         }
         if first {
             self.find_unclaimed(now, &reply.running);
@@ -290,8 +294,8 @@
         self.unclaimed
             .retain(|run, _| reply.running.iter().any(|row| row.run == *run));
         self.confirm_stops(now, sent, &reply.running);
-        self.see_running(&reply.running);
-        self.watch_pace(now, &reply.running);
+        self.mark_listed(&reply.running);
+        self.update_pace(now, &reply.running);
     }
 
     fn find_unclaimed(&mut self, now: Moment, running: &[RunningRow]) {
@@ -302,22 +306,23 @@
                 }
                 continue;
             }
-            // One that is over by what this gate knows came to a life after its own.
-            let over = self.past.contains_key(&row.run);
-            info!(self.log, "run without owner"; "run" => %row.run, "over" => over);
+            // A run that has already ended here was started by a call meant for a previous
+            // incarnation.
+            let over = self.ended_runs.contains_key(&row.run);
+            info!(self.log, "unclaimed run found"; "run" => %row.run, "over" => over);
             let claim = match over {
                 true => Duration::ZERO,
                 false => self.limits.claim,
             };
             self.unclaimed.insert(row.run, now.mono_us + micros(claim));
         }
-        self.bar_missing(now);
+        self.stop_missing(now);
         self.load_changed = true;
     }
 
-    /// Bars what entries claimed before the worker's lists came, if it is on
-    /// none of them: an order of the earlier gate may still be on its way.
-    fn bar_missing(&mut self, now: Moment) {
+    /// Stops claimed runs that the first listing does not contain: a start of the previous
+    /// gate may still be in flight.
+    fn stop_missing(&mut self, now: Moment) {
         let missing: Vec<RunId> = self
             .runs
             .iter()
@@ -329,13 +334,13 @@
         }
     }
 
-    fn worker_ended(&mut self, now: Moment, row: &EndedRow) {
-        if let Some(life) = &mut self.life {
-            life.acked_end = life.acked_end.max(row.number);
+    fn apply_ended(&mut self, now: Moment, row: &EndedRow) {
+        if let Some(incarnation) = &mut self.incarnation {
+            incarnation.acked_end = incarnation.acked_end.max(row.number);
         }
         let state = self.runs.get(&row.run).map(|record| record.state);
         if matches!(state, Some(RunState::Queued { .. })) {
-            info!(self.log, "end of an earlier run of that name"; "run" => %row.run);
+            info!(self.log, "ignored end of earlier run with same id"; "run" => %row.run);
             return;
         }
         let stalled = matches!(
@@ -348,28 +353,29 @@
         let end = match row.end {
             WorkerEnd::Done => RunEnd::Done,
             WorkerEnd::Failed => RunEnd::Failed,
-            WorkerEnd::Stopped | WorkerEnd::Lapsed if stalled => RunEnd::Stalled,
-            WorkerEnd::Stopped | WorkerEnd::Lapsed => RunEnd::Stopped,
+            WorkerEnd::Stopped | WorkerEnd::LeaseExpired if stalled => RunEnd::Stalled,
+            WorkerEnd::Stopped | WorkerEnd::LeaseExpired => RunEnd::Stopped,
         };
         self.end(now, row.run, end);
     }
 
-    /// Takes note of runs whose starts were not answered yet, or in vain.
-    fn see_running(&mut self, running: &[RunningRow]) {
+    /// Marks listed runs as begun, including those whose start was not answered.
+    fn mark_listed(&mut self, running: &[RunningRow]) {
         for row in running {
             let Some(record) = self.runs.get_mut(&row.run) else {
                 continue;
             };
             record.listed = true;
             match &mut record.state {
-                RunState::Starting { .. } => self.began(row.run),
+                RunState::Starting { .. } => self.mark_running(row.run),
                 RunState::Stopping { began, .. } => *began = true,
                 _ => {}
             }
         }
     }
 
-    /// Ends the runs that were barred and are on no list made after that.
+    /// Ends the runs whose stop was acknowledged before the listing was requested and that
+    /// it does not contain.
     fn confirm_stops(&mut self, now: Moment, sent: Moment, running: &[RunningRow]) {
         let gone: Vec<(RunId, bool)> = self
             .runs
@@ -394,8 +400,10 @@
     }
 }
 
-/// Pause after a hold that was not answered, as `misses` before it were not.
-fn hold_pause(misses: u32) -> Duration {
-    let doublings = misses.saturating_sub(HOLD_MISSES).min(MOST_DOUBLINGS);
-    HOLD_PAUSE * 2u32.pow(doublings)
+/// Delay before the next poll after `missed_answers` consecutive unanswered ones.
+fn poll_retry_delay(missed_answers: u32) -> Duration {
+    let doublings = missed_answers
+        .saturating_sub(POLL_MISSES_BEFORE_BACKOFF)
+        .min(MAX_BACKOFF_DOUBLINGS);
+    POLL_RETRY_DELAY * 2u32.pow(doublings)
 }
--- a/src/ephemeral/gate/queue.rs
+++ b/src/ephemeral/gate/queue.rs
@@ -1,20 +1,20 @@
-//! Runs that wait for room, and the order in which they get it.
+//! Queue of runs that wait for room on the worker.
 
 use slog::{debug, info};
 
 use super::headroom::Candidate;
-use super::life::Life;
-use super::{Gate, GateAction, Mark, PastRun, Run, RunState};
+use super::incarnation::Incarnation;
+use super::{EndedRun, Gate, GateAction, ProgressSample, Run, RunState};
 use crate::ephemeral::job::{Priority, RunId};
 use crate::ephemeral::message::{NotRunReason, ProcessId, QueueLoad, RunEnd, StartOrder, ToEntry};
 use crate::ephemeral::worker::StartCall;
 use crate::time::Moment;
 
-/// A run's place in the queue: by priority, then by the latest begin.
+/// Position of a run in the queue: by priority, then by latest start time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(super) struct Place {
+pub(super) struct QueuePosition {
     pub priority: Priority,
-    /// When it should begin, in monotonic microseconds.
+    /// Latest start time, in monotonic microseconds.
     pub due_us: u64,
     pub run: RunId,
 }
@@ -22,16 +22,17 @@
 impl Gate {
     pub(super) fn admit(&mut self, now: Moment, owner: ProcessId, order: StartOrder) {
         let run = order.run;
-        if let Some(past) = self.past_of(&owner, run) {
-            let message = past.report(run);
-            self.tell(&owner, message);
+        if let Some(ended) = self.ended_run(&owner, run) {
+            let message = ended.report(run);
+            self.send(&owner, message);
             return;
         }
-        if let Some(other) = self.other_run(run) {
-            info!(self.log, "task is here already"; "run" => %run, "other" => %other);
+        if let Some(other) = self.unfinished_run_of_task(run) {
+            info!(self.log, "start refused: task has an unfinished run"; "run" => %run,
+                "other" => %other);
             let reason = NotRunReason::AlreadyHere;
             let end = RunEnd::NotRun(reason);
-            self.tell(
+            self.send(
                 &owner,
                 ToEntry::Ended {
                     run,
@@ -42,15 +43,15 @@
             return;
         }
         self.health.set_by_median(order.by_median);
-        let place = Place {
+        let position = QueuePosition {
             priority: order.priority,
             due_us: now.mono_us + order.due_us,
             run,
         };
         let until_us = now.mono_us + order.patience_us;
-        let closed = match order.implicated && self.has_implicated() {
+        let refusal = match order.implicated && self.has_implicated() {
             true => Some(NotRunReason::Apart),
-            false => self.closed(now),
+            false => self.refusal(now),
         };
         let record = Run {
             owner,
@@ -62,104 +63,106 @@
             leaves_headroom: order.leaves_headroom,
             since_us: now.mono_us,
             ordered_us: now.mono_us,
-            state: RunState::Queued { place, until_us },
+            state: RunState::Queued { position, until_us },
             listed: false,
-            mark: None,
+            last_sample: None,
         };
         self.runs.insert(run, record);
         if order.leaves_headroom {
             self.headroom.observe(now, &order);
         }
-        if let Some(reason) = closed {
+        if let Some(reason) = refusal {
             self.end(now, run, RunEnd::NotRun(reason));
             return;
         }
-        self.queue.insert(place);
+        self.queue.insert(position);
         self.load_changed = true;
-        self.adjust_patience(now, &place, &order);
+        self.adjust_patience(now, &position, &order);
         if order.patience_us == 0 {
-            self.fill(now);
-            self.refuse_late(now);
+            self.start_queued(now);
+            self.expire_queued(now);
         }
     }
 
-    /// Whether there is a run here, whoever sent it, of a task that a worker was lost under.
-    ///
-    /// Two of them on one worker that is lost as well would both seem to be to blame. Of
-    /// 24,000 harmless jobs beside 320 that crash workers (40 cases in virtual time) none
-    /// was given up, and 10 where entries alone kept their own apart.
+    /// Whether there is a run, of any entry, whose task lost a worker before. Two such runs
+    /// on one worker would both be blamed for its loss.
     fn has_implicated(&self) -> bool {
         self.runs.values().any(|run| run.implicated)
     }
 
-    /// A run of the same task that is not over yet.
-    fn other_run(&self, run: RunId) -> Option<RunId> {
+    /// An unfinished run of the same task.
+    fn unfinished_run_of_task(&self, run: RunId) -> Option<RunId> {
         let first = RunId { run: 0, ..run };
         let last = RunId {
             run: u32::MAX,
             ..run
         };
-        let mut same = self.runs.range(first..=last);
-        same.next().map(|(other, _)| *other)
+        let mut runs = self.runs.range(first..=last);
+        runs.next().map(|(other, _)| *other)
     }
 
-    pub(super) fn past_of(&self, owner: &ProcessId, run: RunId) -> Option<&PastRun> {
-        self.past.get(&run).filter(|past| past.owner == *owner)
+    pub(super) fn ended_run(&self, owner: &ProcessId, run: RunId) -> Option<&EndedRun> {
+        self.ended_runs
+            .get(&run)
+            .filter(|ended| ended.owner == *owner)
     }
 
-    /// Begins what fits, in the order of the queue. Less urgent runs do not take
-    /// the room that a more urgent one waits for: it would never become large enough.
-    pub(super) fn fill(&mut self, now: Moment) {
-        let open = self.closed(now).is_none() && self.unclaimed.is_empty();
-        if !open || !self.life.as_ref().is_some_and(Life::ready) {
+    /// Starts queued runs that fit, in queue order. Less urgent runs don't use room that a
+    /// more urgent one waits for, as large runs would starve.
+    pub(super) fn start_queued(&mut self, now: Moment) {
+        let open = self.refusal(now).is_none() && self.unclaimed.is_empty();
+        if !open || !self.incarnation.as_ref().is_some_and(Incarnation::is_ready) {
             return;
         }
-        let waiting: Vec<Place> = self.queue.iter().copied().collect();
-        let mut waits: Option<Priority> = None;
-        for place in waiting {
-            if waits.is_some_and(|waits| place.priority > waits) {
+        let waiting: Vec<QueuePosition> = self.queue.iter().copied().collect();
+        let mut blocked: Option<Priority> = None;
+        for position in waiting {
+            if blocked.is_some_and(|blocked| position.priority > blocked) {
                 break;
             }
-            let busy = self.health.suspect() && self.runs.values().any(Run::is_out);
-            let needs = self.runs[&place.run].needs;
-            if busy || !self.leaves_headroom(now, &place) || !self.room.take(place.run, needs) {
-                waits.get_or_insert(place.priority);
+            let busy = self.health.is_suspect() && self.runs.values().any(Run::is_dispatched);
+            let needs = self.runs[&position.run].needs;
+            if busy
+                || !self.leaves_headroom(now, &position)
+                || !self.room.try_reserve(position.run, needs)
+            {
+                blocked.get_or_insert(position.priority);
                 continue;
             }
-            self.queue.remove(&place);
-            self.order(now, place.run);
+            self.queue.remove(&position);
+            self.start_run(now, position.run);
         }
     }
 
-    /// Whether a run leaves enough room free if it begins now.
-    fn leaves_headroom(&self, now: Moment, place: &Place) -> bool {
-        let cpu_milli = self.runs[&place.run].needs.cpu_milli;
-        let wanted = cpu_milli + self.headroom_of(now, place);
+    /// Whether a run that starts now leaves the required headroom.
+    fn leaves_headroom(&self, now: Moment, position: &QueuePosition) -> bool {
+        let cpu_milli = self.runs[&position.run].needs.cpu_milli;
+        let wanted = cpu_milli + self.headroom_of(now, position);
         wanted <= self.room.free().cpu_milli.max(cpu_milli)
     }
 
-    /// Processor time that a run leaves free.
-    pub(super) fn headroom_of(&self, now: Moment, place: &Place) -> u64 {
-        let record = &self.runs[&place.run];
+    /// Headroom that a queued run must leave, in thousandths of a core.
+    pub(super) fn headroom_of(&self, now: Moment, position: &QueuePosition) -> u64 {
+        let record = &self.runs[&position.run];
         if !record.leaves_headroom {
             return 0;
         }
         let candidate = Candidate {
-            priority: place.priority,
+            priority: position.priority,
             cpu_milli: record.needs.cpu_milli,
             run_us: record.expected_us,
         };
         self.headroom_for(now, &candidate)
     }
 
-    /// The same for a run that may come.
+    /// Headroom that a run with these needs must leave, in thousandths of a core.
     pub(super) fn headroom_for(&self, now: Moment, run: &Candidate) -> u64 {
         let next_us = self.next_end_us(now);
         let capacity = self.room.capacity().cpu_milli;
-        self.headroom.wanted(now, run, next_us, capacity)
+        self.headroom.required(now, run, next_us, capacity)
     }
 
-    fn order(&mut self, now: Moment, run: RunId) {
+    fn start_run(&mut self, now: Moment, run: RunId) {
         if let Some(record) = self.runs.get(&run) {
             let waited_us = now.mono_us.saturating_sub(record.since_us);
             debug!(self.log, "run ordered"; "run" => %run, "waited_us" => waited_us,
@@ -168,10 +171,11 @@
         self.send_start(now, run, 0);
     }
 
-    /// Orders a run from the worker, for the first time or again.
+    /// Sends the start of a run to the worker; `resent` counts the previous attempts.
     pub(super) fn send_start(&mut self, now: Moment, run: RunId, resent: u32) {
         let lease = self.limits.lease;
-        let (Some(life), Some(record)) = (&mut self.life, self.runs.get_mut(&run)) else {
+        let (Some(incarnation), Some(record)) = (&mut self.incarnation, self.runs.get_mut(&run))
+        else {
             return;
         };
         let asked_us = now.mono_us;
@@ -180,24 +184,24 @@
         if resent == 0 {
             record.ordered_us = now.mono_us;
         }
-        record.mark = Some(Mark::new(now.mono_us, 0));
+        record.last_sample = Some(ProgressSample::new(now.mono_us, 0));
         self.load_changed = true;
         self.actions.push(GateAction::Start(StartCall {
-            worker: life.id(),
+            worker: incarnation.id(),
             run,
             payload: record.payload.clone(),
-            lease_until_ms: life.lease_until(now, lease),
-            fence: life.fence.unwrap_or(0),
-            limit: self.answers.limit(),
+            lease_until_ms: incarnation.lease_until(now, lease),
+            fence: incarnation.fence.unwrap_or(0),
+            timeout: self.answers.timeout(),
         }));
     }
 
-    pub(super) fn refuse_late(&mut self, now: Moment) {
+    pub(super) fn expire_queued(&mut self, now: Moment) {
         let late = |run: &RunId| {
             let state = self.runs.get(run).map(|record| record.state);
             matches!(state, Some(RunState::Queued { until_us, .. }) if until_us <= now.mono_us)
         };
-        let waiting = self.queue.iter().map(|place| place.run);
+        let waiting = self.queue.iter().map(|position| position.run);
         let late: Vec<RunId> = waiting.filter(late).collect();
         for run in late {
             self.end(now, run, RunEnd::NotRun(NotRunReason::NoRoom));
@@ -205,15 +209,15 @@
     }
 
     pub(super) fn refuse_queued(&mut self, now: Moment, reason: NotRunReason) {
-        let waiting: Vec<RunId> = self.queue.iter().map(|place| place.run).collect();
+        let waiting: Vec<RunId> = self.queue.iter().map(|position| position.run).collect();
         for run in waiting {
             self.end(now, run, RunEnd::NotRun(reason));
         }
     }
 
-    /// What waits ahead of a new run, for each priority at which that changes.
+    /// Queued work ahead of a new run, for each priority at which it changes.
     pub(super) fn queues(&self, now: Moment) -> Vec<QueueLoad> {
-        let waiting = self.queue.iter().map(|place| place.priority);
+        let waiting = self.queue.iter().map(|position| position.priority);
         let mut priorities: Vec<Priority> = std::iter::once(Priority::URGENT)
             .chain(waiting)
             .chain(self.headroom.priorities(now))
@@ -222,21 +226,24 @@
         priorities.dedup();
         let queues = priorities.into_iter();
         queues
-            .map(|priority| self.queue_ahead(now, priority))
+            .map(|priority| self.queue_load(now, priority))
             .collect()
     }
 
-    fn queue_ahead(&self, now: Moment, priority: Priority) -> QueueLoad {
-        let ahead = self.queue.iter().filter(|place| place.priority <= priority);
-        let needs = ahead.map(|place| self.runs[&place.run].needs.cpu_milli);
+    fn queue_load(&self, now: Moment, priority: Priority) -> QueueLoad {
+        let ahead = self
+            .queue
+            .iter()
+            .filter(|position| position.priority <= priority);
+        let needs = ahead.map(|position| self.runs[&position.run].needs.cpu_milli);
         let queued: u64 = needs.sum();
-        let usual = self.headroom.usual(priority);
-        let cpu_milli = queued + self.headroom_for(now, &usual);
+        let typical = self.headroom.typical_run(priority);
+        let cpu_milli = queued + self.headroom_for(now, &typical);
         let forecast = self.forecast(now);
         QueueLoad {
             priority,
             cpu_milli,
-            wait_us: forecast.wait_us(cpu_milli + forecast.usual_cpu_milli()),
+            wait_us: forecast.wait_us(cpu_milli + forecast.mean_cpu_milli()),
         }
     }
 }
--- a/src/ephemeral/gate/restart.rs
+++ b/src/ephemeral/gate/restart.rs
@@ -1,90 +1,96 @@
-//! A worker that starts again under the name it had.
+//! Restart of a worker under the same name.
 //!
-//! Orders name the worker, not its birth. One that was meant for the life before may come
-//! to the next one, which carries it out if it has not seen a higher fencing token. So the
-//! runs of the life before do not end with it: they are kept until the next life has seen
-//! the gate's new token and listed what it runs. What is on that list goes on there, and
-//! the rest is barred first. A worker of another name turns such orders away by itself.
+//! Calls address the worker by name, so a start meant for the previous incarnation may
+//! reach the next one, which accepts it unless it has seen a higher fencing token. The runs
+//! of the previous incarnation are therefore kept until the next one has seen the gate's
+//! new token and listed its runs. Listed runs continue; the others are stopped before they
+//! end. A worker under another name rejects such calls itself.
 
 use slog::info;
 
-use super::life::lease_end_us;
+use super::incarnation::lease_end_us;
 use super::{Gate, Run, RunState};
 use crate::ephemeral::job::RunId;
 use crate::ephemeral::message::RunEnd;
-use crate::ephemeral::worker::HoldReply;
+use crate::ephemeral::worker::PollReply;
 use crate::ephemeral::worker_id::WorkerId;
 use crate::time::Moment;
 
-/// Which life gave an answer.
+/// Incarnation that gave an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum AnsweringLife {
+pub(super) enum AnsweredBy {
     /// The one that was asked.
-    Present,
-    /// One of another birth.
+    Current,
+    /// One with another start time.
     Another,
-    /// It does not tell.
+    /// The answer has no start time.
     Unknown,
 }
 
-/// What is kept between two lives of a worker.
+/// State kept between two incarnations of a worker.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Kept {
-    /// When it is given up if no life has reported by then.
+pub(super) struct CarryOver {
+    /// Time at which the runs are ended if no incarnation has reported.
     until_us: u64,
-    /// Until when the next life may hold a lease that was meant for the one before.
-    foreign_lease_us: u64,
+    /// Time until which the next incarnation may hold a lease meant for the previous one.
+    inherited_lease_us: u64,
 }
 
 impl Gate {
-    /// Whether what names a worker without its birth, where workers tell it, is of another
-    /// writer or of no life in particular.
-    pub(super) fn lacks_birth(&self, id: &WorkerId) -> bool {
-        self.births_told && id.born_ms.is_none()
+    /// Whether a start time is missing although workers report it.
+    pub(super) fn lacks_start_time(&self, id: &WorkerId) -> bool {
+        self.reports_start_time && id.born_ms.is_none()
     }
 
-    /// Which life gave an answer to a question for the present one.
-    pub(super) fn answering_life(&mut self, reply: &HoldReply) -> AnsweringLife {
-        let expected = self.life.as_ref().and_then(|life| life.traits.id.born_ms);
-        self.births_told |= reply.born_ms.is_some();
+    /// Determines which incarnation answered a poll of the current one.
+    pub(super) fn answered_by(&mut self, reply: &PollReply) -> AnsweredBy {
+        let expected = self
+            .incarnation
+            .as_ref()
+            .and_then(|incarnation| incarnation.traits.id.born_ms);
+        self.reports_start_time |= reply.born_ms.is_some();
         match (expected, reply.born_ms) {
-            // An answer that turns a token away lists nothing.
-            (Some(_), None) if reply.fenced => AnsweringLife::Present,
-            (Some(_), None) => AnsweringLife::Unknown,
-            (expected, born_ms) if expected == born_ms => AnsweringLife::Present,
-            _ => AnsweringLife::Another,
+            // An answer that rejects the token contains no lists.
+            (Some(_), None) if reply.fenced => AnsweredBy::Current,
+            (Some(_), None) => AnsweredBy::Unknown,
+            (expected, born_ms) if expected == born_ms => AnsweredBy::Current,
+            _ => AnsweredBy::Another,
         }
     }
 
-    /// The worker has started again under its name. `took_lease` is whether the next life
-    /// may have taken a renewed lease that was meant for the one before: it takes its end
-    /// for one on its own clock, which reads far less.
-    pub(super) fn keep_runs(&mut self, now: Moment, took_lease: bool) {
+    /// Keeps the runs for the next incarnation of the same name. `may_have_lease` is
+    /// whether the next one may have accepted a lease renewal meant for the previous one:
+    /// it compares the end with its own clock, which reads far less.
+    pub(super) fn begin_carry_over(&mut self, now: Moment, may_have_lease: bool) {
         let may_start = self.runs.values().any(Run::is_unanswered);
-        let foreign_lease_us = match took_lease || may_start {
+        let inherited_lease_us = match may_have_lease || may_start {
             true => lease_end_us(now.mono_us, self.limits.most_lease),
             false => 0,
         };
-        self.kept = Some(Kept {
-            until_us: lease_end_us(now.mono_us, self.limits.lease).max(foreign_lease_us),
-            foreign_lease_us,
+        self.carry_over = Some(CarryOver {
+            until_us: lease_end_us(now.mono_us, self.limits.lease).max(inherited_lease_us),
+            inherited_lease_us,
         });
     }
 
-    /// Until when the life that is followed now may hold a lease of the one before.
-    pub(super) fn take_foreign_lease(&mut self) -> u64 {
-        self.kept.take().map_or(0, |kept| kept.foreign_lease_us)
+    /// Ends the carry-over; returns until when the adopted incarnation may hold a lease of
+    /// the previous one.
+    pub(super) fn take_inherited_lease(&mut self) -> u64 {
+        self.carry_over
+            .take()
+            .map_or(0, |kept| kept.inherited_lease_us)
     }
 
-    /// Keeps what was on the life before, or may still come to the next one.
-    pub(super) fn hold_over(&mut self, run: RunId) {
+    /// Keeps a run that the next incarnation may have, or may still receive.
+    pub(super) fn carry_over_run(&mut self, run: RunId) {
         let Some(record) = self.runs.get_mut(&run) else {
             return;
         };
-        info!(self.log, "run kept for the next life"; "run" => %run, "state" => ?record.state);
-        record.mark = None;
+        info!(self.log, "run kept for next incarnation"; "run" => %run, "state" => ?record.state);
+        record.last_sample = None;
         record.state = match record.state {
-            // What the life before took note of bars nothing on the next one.
+            // A stop acknowledged by the previous incarnation has no effect on the next
+            // one.
             RunState::Stopping {
                 cause, since_us, ..
             } => RunState::Stopping {
@@ -98,15 +104,18 @@
         };
     }
 
-    /// Ends what was kept for a life that has not reported.
-    pub(super) fn end_kept(&mut self, now: Moment) {
-        if self.kept.is_none_or(|kept| now.mono_us <= kept.until_us) {
+    /// Ends the kept runs if no incarnation has reported in time.
+    pub(super) fn expire_carry_over(&mut self, now: Moment) {
+        if self
+            .carry_over
+            .is_none_or(|kept| now.mono_us <= kept.until_us)
+        {
             return;
         }
-        self.kept = None;
+        self.carry_over = None;
         let kept: Vec<RunId> = self.runs.keys().copied().collect();
         for run in kept {
-            info!(self.log, "run of a life that did not come back"; "run" => %run);
+            info!(self.log, "run ended: worker did not come back after restart"; "run" => %run);
             self.end(now, run, RunEnd::Stopped);
         }
     }
--- a/src/ephemeral/gate/speed.rs
+++ b/src/ephemeral/gate/speed.rs
@@ -1,85 +1,83 @@
-//! The speed of a worker, by the median of its runs.
-//!
-//! A few tasks in a hundred run for several times as long as their kind. Such a task
-//! moves a mean for many runs, but a median only by its rank.
+//! Speed of a worker as a median over its runs. The median, unlike the mean, is insensitive
+//! to the few tasks that run several times as long as expected.
 
 use std::collections::VecDeque;
 use std::time::Duration;
 
 use crate::time::{Moment, micros};
 
-/// Runs that tell the usual speed.
-const USUAL_RUNS: usize = 63;
-/// Runs that tell the speed of late: most of them must be slow for the worker to be.
-const LATE_RUNS: usize = 11;
-/// Runs below which a worker counts as one of usual speed.
-const FEWEST_RUNS: usize = 3;
-/// Time without a run after which a sample is dropped, so that a worker that gets no
-/// runs for its speed is tried again.
-const FORGET: Duration = Duration::from_secs(1);
+/// Samples of the baseline.
+const BASELINE_RUNS: usize = 63;
+/// Samples of the recent speed.
+const RECENT_RUNS: usize = 11;
+/// Minimum samples for a median.
+const MIN_RUNS: usize = 3;
+/// Time without a run after which a sample is dropped, so that a slow worker gets runs
+/// again.
+const SAMPLE_EXPIRY: Duration = Duration::from_secs(1);
 
-/// Ratios of recent run times to what was expected.
+/// Ratios of actual to expected run time of recent runs.
 #[derive(Debug)]
 pub(super) struct Speed {
     ratios: VecDeque<f64>,
-    usual: f64,
-    lately: f64,
-    heard_us: u64,
+    baseline: f64,
+    recent: f64,
+    last_sample_us: u64,
 }
 
 impl Default for Speed {
     fn default() -> Speed {
         Speed {
-            ratios: VecDeque::with_capacity(USUAL_RUNS),
-            usual: 1.0,
-            lately: 1.0,
-            heard_us: 0,
+            ratios: VecDeque::with_capacity(BASELINE_RUNS),
+            baseline: 1.0,
+            recent: 1.0,
+            last_sample_us: 0,
         }
     }
 }
 
 impl Speed {
-    /// A run took `ratio` times as long as expected.
-    pub fn learn(&mut self, now: Moment, ratio: f64) {
-        if self.ratios.len() == USUAL_RUNS {
+    /// Records the ratio of a run.
+    pub fn record(&mut self, now: Moment, ratio: f64) {
+        if self.ratios.len() == BASELINE_RUNS {
             self.ratios.pop_front();
         }
         self.ratios.push_back(ratio);
-        self.heard_us = now.mono_us;
+        self.last_sample_us = now.mono_us;
         self.update();
     }
 
-    /// Drops a sample if there has been no run for a while.
-    pub fn forget_old(&mut self, now: Moment) {
-        if now.mono_us > self.heard_us + micros(FORGET) && !self.ratios.is_empty() {
+    /// Drops one sample if there has been no run for [`SAMPLE_EXPIRY`].
+    pub fn expire_samples(&mut self, now: Moment) {
+        if now.mono_us > self.last_sample_us + micros(SAMPLE_EXPIRY) && !self.ratios.is_empty() {
             self.ratios.pop_front();
-            self.heard_us = now.mono_us;
+            self.last_sample_us = now.mono_us;
             self.update();
-            self.lately = self.usual;
+            self.recent = self.baseline;
         }
     }
 
     fn update(&mut self) {
-        self.usual = median(self.ratios.iter().copied()).unwrap_or(1.0);
-        let late = self.ratios.iter().rev().take(LATE_RUNS).copied();
-        self.lately = median(late).unwrap_or(self.usual);
+        self.baseline = median(self.ratios.iter().copied()).unwrap_or(1.0);
+        let recent = self.ratios.iter().rev().take(RECENT_RUNS).copied();
+        self.recent = median(recent).unwrap_or(self.baseline);
     }
 
-    /// Median ratio of many runs.
-    pub fn usual(&self) -> f64 {
-        self.usual
+    /// Median ratio of all samples.
+    pub fn baseline(&self) -> f64 {
+        self.baseline
     }
 
-    /// Median ratio of the last few runs.
-    pub fn lately(&self) -> f64 {
-        self.lately
+    /// Median ratio of the last few samples.
+    pub fn recent(&self) -> f64 {
+        self.recent
     }
 }
 
-/// The median, the lower one of two; `None` if there are too few samples.
+/// The lower median; `None` if there are too few samples.
 fn median(samples: impl Iterator<Item = f64>) -> Option<f64> {
     let mut samples: Vec<f64> = samples.collect();
-    if samples.len() < FEWEST_RUNS {
+    if samples.len() < MIN_RUNS {
         return None;
     }
     let middle = (samples.len() - 1) / 2;
--- a/src/ephemeral/placement.rs
+++ b/src/ephemeral/placement.rs
@@ -130,7 +130,7 @@
     pub fn observe(&mut self, now: Moment, load: GateLoad) {
         while let Some(start) = self.unseen.pop_front_if(|start| start.number <= load.seen) {
             let took_us = now.mono_us.saturating_sub(start.sent_us);
-            self.answers.learn(took_us);
+            self.answers.record(took_us);
         }
         self.load = load;
     }
@@ -190,7 +190,7 @@
         let start = self.unseen.front();
         let start_due_us = start.map(|start| start.sent_us.max(since_us));
         let start_late = start_due_us
-            .is_some_and(|sent_us| now.mono_us > sent_us + micros(self.answers.limit()));
+            .is_some_and(|sent_us| now.mono_us > sent_us + micros(self.answers.timeout()));
         start_late || now.mono_us > heard_us + micros(quiet)
     }
 
--- a/src/ephemeral/suspension.rs
+++ b/src/ephemeral/suspension.rs
@@ -1,34 +1,31 @@
-//! Whether this process stood still a moment ago; for the log.
-//!
-//! Nothing is decided by it: while a process is frozen its sessions lapse, so
-//! that it can start nothing when it wakes up before it is connected anew.
+//! Detects that this process was suspended, for the log only. The sessions of a suspended
+//! process expire, so it starts nothing before it has reconnected.
 
 use std::time::Duration;
 
 use crate::time::Moment;
 
-/// A loop that did not turn for so long stood still; it turns every 10 ms, and
-/// a small share of a core is never this late.
-const STOOD_STILL: Duration = Duration::from_millis(300);
+/// Gap between two turns of the loop that counts as a suspension.
+const STALL_THRESHOLD: Duration = Duration::from_millis(300);
 
-/// Watches the turns of a process's loop.
+/// Detects gaps between the turns of a loop.
 #[derive(Clone, Copy, Debug)]
 pub struct Suspension {
-    turned_us: u64,
+    last_turn_us: u64,
 }
 
 impl Suspension {
-    /// A loop that begins to turn.
+    /// Starts the detection.
     pub fn new(now: Moment) -> Suspension {
         Suspension {
-            turned_us: now.mono_us,
+            last_turn_us: now.mono_us,
         }
     }
 
-    /// The loop turns; returns how long it stood still, if it did.
+    /// Records a turn; returns the duration of the suspension before it, if there was one.
     pub fn turn(&mut self, now: Moment) -> Option<Duration> {
-        let gap = Duration::from_micros(now.mono_us.saturating_sub(self.turned_us));
-        self.turned_us = now.mono_us;
-        (gap > STOOD_STILL).then_some(gap)
+        let gap = Duration::from_micros(now.mono_us.saturating_sub(self.last_turn_us));
+        self.last_turn_us = now.mono_us;
+        (gap > STALL_THRESHOLD).then_some(gap)
     }
 }
--- a/src/ephemeral/worker.rs
+++ b/src/ephemeral/worker.rs
@@ -1,9 +1,9 @@
-//! A worker that takes orders and reports what ran.
+//! Interface to workers that start runs asynchronously.
 //!
-//! Unlike [`crate::worker::Worker`], which answers a run with its result, such
-//! a worker acknowledges a start, and lists what runs and what ended when it is
-//! asked. All that runs on it shares one lease, counted on its own clock. An
-//! order without an answer may have been carried out, or may be seconds later.
+//! Unlike [`crate::worker::Worker`], which answers a run with its result, such a worker
+//! acknowledges a start and lists running and ended runs when polled. All its runs share
+//! one lease, counted on its own clock. A call without an answer may have been carried out,
+//! or may be carried out seconds later.
 
 use std::future::Future;
 use std::pin::Pin;
@@ -17,31 +17,31 @@
 use crate::ephemeral::message::WorkerTraits;
 use crate::ephemeral::worker_id::WorkerId;
 
-/// What a worker says of itself from time to time.
+/// Periodic self-report of a worker.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct WorkerReport {
-    /// This life of the worker.
+    /// Incarnation of the worker.
     pub id: WorkerId,
-    /// Service that it runs tasks of.
+    /// Service whose tasks it runs.
     pub service: String,
-    /// Address for orders.
+    /// Address for calls.
     pub addr: String,
     /// Whether it is leaving.
     pub leaving: bool,
-    /// Time until it is gone, in milliseconds, if it says so.
+    /// Time until it ends, in milliseconds, if announced.
     pub leaves_in_ms: Option<u64>,
-    /// What it has.
+    /// Total capacity.
     pub capacity: Resources,
     /// Its kind and its rack.
     pub labels: Vec<String>,
     /// Its clock, in milliseconds.
     pub clock_ms: u64,
-    /// Count of its calls; a lower one is older.
+    /// Sequence number of the report.
     pub sequence: u64,
 }
 
 impl WorkerReport {
-    /// What matters for placement.
+    /// Properties used for placement.
     pub fn traits(&self) -> WorkerTraits {
         WorkerTraits {
             id: self.id.clone(),
@@ -52,7 +52,7 @@
         }
     }
 
-    /// What is kept of it in the store.
+    /// Record kept in the store.
     pub fn record(&self) -> WorkerRecord {
         WorkerRecord {
             traits: self.traits(),
@@ -61,103 +61,105 @@
     }
 }
 
-/// An order to begin a run.
+/// Request to start a run.
 #[derive(Clone, Debug)]
 pub struct StartCall {
-    /// Life of the worker that is meant.
+    /// Incarnation that is addressed.
     pub worker: WorkerId,
     /// The run.
     pub run: RunId,
-    /// What the task is given.
+    /// Input of the task.
     pub payload: Arc<str>,
-    /// End of the lease, on the worker's clock, in milliseconds.
+    /// End of the lease on the worker's clock, in milliseconds.
     pub lease_until_ms: u64,
-    /// Fencing token; the worker ignores lower ones than it has seen.
+    /// Fencing token; the worker rejects tokens lower than the highest it has seen.
     pub fence: u64,
-    /// Longest wait for the answer.
-    pub limit: Duration,
+    /// Timeout of the call.
+    pub timeout: Duration,
 }
 
-/// An order to bar or stop a run.
+/// Request to stop a run, or to prevent its start.
 #[derive(Clone, Debug)]
 pub struct StopCall {
-    /// Life of the worker that is meant.
+    /// Incarnation that is addressed.
     pub worker: WorkerId,
     /// The run.
     pub run: RunId,
     /// Fencing token.
     pub fence: u64,
-    /// Longest wait for the answer.
-    pub limit: Duration,
+    /// Timeout of the call.
+    pub timeout: Duration,
 }
 
 /// Answer to a start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StartReply {
-    /// It runs; also if it ran already.
+    /// The run is running; also if it was started before.
     Running,
-    /// The worker did nothing: this run is barred or not above an earlier one.
-    Old,
-    /// The worker did nothing: no room, lease over, unhealthy or bad order.
+    /// Not started: the run was stopped, or is not newer than an earlier one.
+    Stale,
+    /// Not started: no room, lease expired, worker unhealthy or invalid call.
     Rejected,
-    /// Another life of the worker answered.
-    OtherLife,
+    /// Another incarnation of the worker answered.
+    OtherIncarnation,
 }
 
-/// A question for all that runs and ended.
+/// Request for the lists of running and ended runs, which may renew the lease.
 #[derive(Clone, Debug)]
-pub struct HoldCall {
-    /// Life of the worker that is meant; any, if unknown.
+pub struct PollCall {
+    /// Incarnation that is addressed; any, if `None`.
     pub worker: Option<WorkerId>,
-    /// Fencing token; none while the gate has not chosen its own.
+    /// Fencing token; `None` until the gate has chosen one.
     pub fence: Option<u64>,
-    /// New end of the lease on the worker's clock, in milliseconds.
+    /// New end of the lease on the worker's clock, in milliseconds; `None` leaves the lease
+    /// as it is.
     pub lease_until_ms: Option<u64>,
-    /// Number of the last end that was received; the worker forgets those.
+    /// Number of the last end received; the worker drops ends up to it.
     pub acked_end: u64,
-    /// How long the answer may wait for an end, in milliseconds.
+    /// Longest time that the worker may hold the call open until a run ends, in
+    /// milliseconds.
     pub wait_ms: u64,
-    /// Longest wait for the answer beyond that.
-    pub limit: Duration,
-    /// Pause before the worker is asked again, if it does not answer.
-    pub retry: Duration,
-    /// Whether it only confirms a stop, beside the hold that waits for ends.
+    /// Timeout of the call beyond `wait_ms`.
+    pub timeout: Duration,
+    /// Delay before the next poll if this one fails.
+    pub retry_delay: Duration,
+    /// Whether this is an immediate check beside the regular poll.
     pub check: bool,
 }
 
-impl HoldCall {
-    /// How long its answer is waited for in all.
+impl PollCall {
+    /// Total timeout of the call.
     pub fn longest_wait(&self) -> Duration {
-        Duration::from_millis(self.wait_ms) + self.limit
+        Duration::from_millis(self.wait_ms) + self.timeout
     }
 }
 
-/// A run that goes on.
+/// A running run.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RunningRow {
     /// The run.
     pub run: RunId,
-    /// How far it is.
+    /// Progress.
     pub percent: u32,
 }
 
-/// How a worker says that a run ended.
+/// How a run ended, as reported by the worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WorkerEnd {
     /// Finished.
     Done,
-    /// Failed by itself or through the worker.
+    /// Failed in the task or in the worker.
     Failed,
-    /// Stopped by an order.
+    /// Stopped on request.
     Stopped,
-    /// Its lease ran out.
-    Lapsed,
+    /// Its lease expired.
+    LeaseExpired,
 }
 
-/// A run that ended.
+/// An ended run.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EndedRow {
-    /// Count of ends in this life of the worker.
+    /// Sequence number of the end within this incarnation.
     pub number: u64,
     /// The run.
     pub run: RunId,
@@ -165,68 +167,67 @@
     pub end: WorkerEnd,
 }
 
-/// Answer to a hold.
+/// Answer to a poll.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct HoldReply {
-    /// When the life that answers started, in Unix milliseconds, where workers tell it.
+pub struct PollReply {
+    /// Start time of the incarnation that answers, in Unix milliseconds, if reported.
     pub born_ms: Option<u64>,
     /// The worker's clock, in milliseconds.
     pub clock_ms: u64,
-    /// Whether the worker has seen a higher fencing token; the lists are empty
-    /// then.
+    /// Whether the worker has seen a higher fencing token; the lists are then empty.
     pub fenced: bool,
-    /// What runs.
+    /// Running runs.
     pub running: Vec<RunningRow>,
-    /// What ended after the acknowledged ones.
+    /// Ended runs that have not been acknowledged.
     pub ended: Vec<EndedRow>,
 }
 
 quick_error! {
-    /// Why an order has no useful answer.
+    /// Failure of a call to a worker.
     #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-    pub enum OrderError {
+    pub enum WorkerCallError {
         /// Nothing listens at the worker's address.
         Refused {
-            display("nothing listens at the worker's address")
+            display("worker address refuses connections")
         }
-        /// Nothing came back; the order may be carried out, also later.
+        /// No answer; the call may be carried out, also later.
         Unanswered {
-            display("no answer; the order may be carried out, also later")
+            display("no answer; the call may still be carried out")
         }
-        /// Another life of the worker answered; the one that was meant is gone.
-        OtherLife {
-            display("another life of the worker answered")
+        /// Another incarnation of the worker answered; the addressed one has ended.
+        OtherIncarnation {
+            display("another incarnation of the worker answered")
         }
-        /// The answer could not be read.
+        /// The answer could not be decoded.
         Protocol {
-            display("unexpected answer")
+            display("answer could not be decoded")
         }
     }
 }
 
-/// Future of a worker's answer.
-pub type OrderFuture<T> = Pin<Box<dyn Future<Output = Result<T, OrderError>> + Send>>;
+/// Future of the answer to a worker call.
+pub type WorkerCallFuture<T> = Pin<Box<dyn Future<Output = Result<T, WorkerCallError>> + Send>>;
 
-/// Answer to a start, with the worker's clock where it says so.
+/// Answer to a start with the worker's clock, if reported.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StartAnswer {
-    /// What became of the order.
+    /// Outcome of the start.
     pub reply: StartReply,
     /// The worker's clock, in milliseconds.
     pub clock_ms: Option<u64>,
 }
 
-/// Sends orders to one worker.
-pub trait OrderedWorker: Send + Sync {
-    /// Aims at the worker at `addr` from now on.
-    fn aim(&self, addr: &str);
+/// Client of one worker.
+pub trait WorkerClient: Send + Sync {
+    /// Sets the address of the worker.
+    fn set_addr(&self, addr: &str);
 
-    /// Begins a run.
-    fn start(&self, call: StartCall) -> OrderFuture<StartAnswer>;
+    /// Starts a run.
+    fn start(&self, call: StartCall) -> WorkerCallFuture<StartAnswer>;
 
-    /// Bars or stops a run; ends once the worker has taken note.
-    fn stop(&self, call: StopCall) -> OrderFuture<()>;
+    /// Stops a run or prevents its start; completes once the worker has acknowledged it.
+    fn stop(&self, call: StopCall) -> WorkerCallFuture<()>;
 
     /// Renews the lease and lists runs.
-    fn hold(&self, call: HoldCall) -> OrderFuture<HoldReply>;
+    fn poll_runs(&self, call: PollCall) -> WorkerCallFuture<PollReply>;
 }
--- a/src/ephemeral/worker_id.rs
+++ b/src/ephemeral/worker_id.rs
@@ -1,22 +1,22 @@
-//! Which life of a worker something belongs to.
+//! Identity of a worker incarnation.
 
 use std::fmt;
 use std::sync::Arc;
 
 use serde::{Deserialize, Serialize};
 
-/// One life of a worker. It may start again under the name that it had; it knows nothing
-/// of before then, and its counts start anew, so that the name alone tells no life.
+/// One incarnation of a worker. A worker may restart under the same name, without any state
+/// of its previous incarnation, so the name alone does not identify it.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct WorkerId {
-    /// Name that it registers with.
+    /// Name under which it registers.
     pub name: Arc<str>,
-    /// When it started, in Unix milliseconds, where workers tell it.
+    /// Start time in Unix milliseconds, if reported.
     pub born_ms: Option<u64>,
 }
 
 impl From<&str> for WorkerId {
-    /// A worker that does not tell when it started.
+    /// Creates an identity without a start time.
     fn from(name: &str) -> WorkerId {
         WorkerId {
             name: name.into(),
--- a/tests/ephemeral_evacuation.rs
+++ b/tests/ephemeral_evacuation.rs
@@ -14,7 +14,7 @@
 use winghold::ephemeral::evacuations::{self, EvacuationKeys};
 use winghold::ephemeral::follower::Follower;
 use winghold::ephemeral::message::{GateLoad, NotRunReason, RunEnd};
-use winghold::ephemeral::worker::{OrderError, StartReply, WorkerEnd};
+use winghold::ephemeral::worker::{StartReply, WorkerCallError, WorkerEnd};
 use winghold::logging;
 use winghold::metrics::Metrics;
 use winghold::store::{
@@ -54,7 +54,7 @@
     bench.order(run(1), 100, 100);
     bench.gate.evacuate(bench.now, true);
     bench.collect();
-    bench.started(run(1), Err(OrderError::Unanswered));
+    bench.started(run(1), Err(WorkerCallError::Unanswered));
     assert_eq!(bench.ordered(), [run(1)], "once");
     assert_eq!(bench.stops(), [run(1)], "it is barred");
 }
--- a/tests/ephemeral_fleet/gates.rs
+++ b/tests/ephemeral_fleet/gates.rs
@@ -6,7 +6,7 @@
 use winghold::ephemeral::gate::GateAction;
 use winghold::ephemeral::message::ToEntry;
 use winghold::ephemeral::session::SessionId;
-use winghold::ephemeral::worker::{HoldCall, OrderError};
+use winghold::ephemeral::worker::{PollCall, WorkerCallError};
 use winghold::time::Moment;
 
 use super::connections::{Connection, Read};
@@ -76,21 +76,21 @@
                 Answered::Hold(sent, call, answers) => {
                     let same = worker.is_named_in(&call);
                     let answer = match (answers && worker.up, same) {
-                        (false, _) if !worker.up && worker.refuses => Err(OrderError::Refused),
-                        (false, _) => Err(OrderError::Unanswered),
-                        (true, false) => Err(OrderError::OtherLife),
+                        (false, _) if !worker.up && worker.refuses => Err(WorkerCallError::Refused),
+                        (false, _) => Err(WorkerCallError::Unanswered),
+                        (true, false) => Err(WorkerCallError::OtherIncarnation),
                         (true, true) => Ok(worker.hold(
                             now_us,
-                            &HoldCall {
+                            &PollCall {
                                 lease_until_ms: None,
                                 ..call.clone()
                             },
                         )),
                     };
                     if answer.is_err() {
-                        process.gate.hold_failed(now, reset);
+                        process.gate.poll_failed(now, reset);
                     }
-                    process.gate.hold_answered(now, sent, &call, answer);
+                    process.gate.poll_answered(now, sent, &call, answer);
                 }
             }
         }
@@ -144,11 +144,11 @@
                     let of = |one: &Connection| one.gate == index && one.gate_session == session;
                     self.close_connections(of, true);
                 }
-                GateAction::Aim(_) => {}
-                GateAction::Record(losses) => self.recorded[index] = losses,
+                GateAction::SetWorker(_) => {}
+                GateAction::StoreLosses(losses) => self.recorded[index] = losses,
                 GateAction::Start(call) => self.order_start(index, call),
                 GateAction::Stop(call) => self.order_stop(index, &call),
-                GateAction::Hold(call) => self.order_hold(index, call),
+                GateAction::Poll(call) => self.order_hold(index, call),
             }
         }
         let at_us = self.now_us + self.rng.random_range(500..4_000);
--- a/tests/ephemeral_fleet/mod.rs
+++ b/tests/ephemeral_fleet/mod.rs
@@ -32,7 +32,7 @@
 use winghold::ephemeral::message::ProcessId;
 use winghold::ephemeral::routes::Route;
 use winghold::ephemeral::worker::{
-    HoldCall, OrderError, StartAnswer, StartCall, StopCall, WorkerReport,
+    PollCall, StartAnswer, StartCall, StopCall, WorkerCallError, WorkerReport,
 };
 use winghold::ephemeral::worker_id::WorkerId;
 use winghold::logging;
@@ -123,9 +123,9 @@
 
 enum Answered {
     /// With the life of the worker that was meant; so the next one.
-    Start(WorkerId, RunId, Result<StartAnswer, OrderError>),
-    Stop(WorkerId, RunId, Result<(), OrderError>),
-    Hold(Moment, HoldCall, bool),
+    Start(WorkerId, RunId, Result<StartAnswer, WorkerCallError>),
+    Stop(WorkerId, RunId, Result<(), WorkerCallError>),
+    Hold(Moment, PollCall, bool),
 }
 
 /// An order that is carried out later than anyone expects.
@@ -315,7 +315,7 @@
         }
         let me = self.next_life(&format!("gate-{index}"));
         let mut gate = Gate::new(me, self.limits, logging::discard());
-        gate.recall_losses(self.recorded[index].clone());
+        gate.restore_losses(self.recorded[index].clone());
         gate.expect_evacuation(self.gate_moment(index));
         self.gates[index] = Some(GateProcess {
             gate,
--- a/tests/ephemeral_fleet/orders.rs
+++ b/tests/ephemeral_fleet/orders.rs
@@ -2,7 +2,7 @@
 
 use rand::RngExt;
 use winghold::ephemeral::worker::{
-    HoldCall, OrderError, StartAnswer, StartCall, StartReply, StopCall,
+    PollCall, StartAnswer, StartCall, StartReply, StopCall, WorkerCallError,
 };
 
 use super::{Answered, Fleet, HOLD_LIMIT_US, Late, ORDER_LIMIT_US, STEP_US};
@@ -46,7 +46,7 @@
         }
         if self.is_refused(index) {
             let at_us = self.now_us + STEP_US;
-            let answer = Answered::Start(meant, run, Err(OrderError::Refused));
+            let answer = Answered::Start(meant, run, Err(WorkerCallError::Refused));
             self.answer_at(index, at_us, answer);
             return;
         }
@@ -56,7 +56,7 @@
                 self.late.push((at_us, Late::Start(index, call)));
             }
             let at_us = self.now_us + ORDER_LIMIT_US;
-            let answer = Answered::Start(meant, run, Err(OrderError::Unanswered));
+            let answer = Answered::Start(meant, run, Err(WorkerCallError::Unanswered));
             self.answer_at(index, at_us, answer);
             return;
         }
@@ -71,7 +71,7 @@
         let (meant, run, fence) = (call.worker.clone(), call.run, call.fence);
         if self.is_refused(index) {
             let at_us = self.now_us + STEP_US;
-            let answer = Answered::Stop(meant, run, Err(OrderError::Refused));
+            let answer = Answered::Stop(meant, run, Err(WorkerCallError::Refused));
             self.answer_at(index, at_us, answer);
             return;
         }
@@ -80,22 +80,24 @@
             self.late.push((at_us, Late::Stop(index, call.clone())));
         }
         let answer = match lost {
-            true => Err(OrderError::Unanswered),
-            false if meant.name != self.workers[index].id.name => Err(OrderError::OtherLife),
+            true => Err(WorkerCallError::Unanswered),
+            false if meant.name != self.workers[index].id.name => {
+                Err(WorkerCallError::OtherIncarnation)
+            }
             false if self.workers[index].stop(self.now_us, run, fence) => Ok(()),
             // The platform answers 409, which the adapter takes for no answer.
-            false => Err(OrderError::Protocol),
+            false => Err(WorkerCallError::Protocol),
         };
         let wait_us = if lost { ORDER_LIMIT_US } else { STEP_US };
         let at_us = self.now_us + wait_us;
         self.answer_at(index, at_us, Answered::Stop(meant, run, answer));
     }
 
-    pub(super) fn order_hold(&mut self, index: usize, call: HoldCall) {
+    pub(super) fn order_hold(&mut self, index: usize, call: PollCall) {
         let (lost, _) = self.fate(index);
         if !lost && self.workers[index].is_named_in(&call) {
             // The lease counts from the arrival, the lists from the answer.
-            let renewal = HoldCall {
+            let renewal = PollCall {
                 acked_end: call.acked_end,
                 ..call.clone()
             };
--- a/tests/ephemeral_fleet/worker.rs
+++ b/tests/ephemeral_fleet/worker.rs
@@ -4,7 +4,7 @@
 
 use winghold::ephemeral::job::{JobId, Resources, RunId};
 use winghold::ephemeral::worker::{
-    EndedRow, HoldCall, HoldReply, RunningRow, StartCall, StartReply, WorkerEnd,
+    EndedRow, PollCall, PollReply, RunningRow, StartCall, StartReply, WorkerEnd,
 };
 use winghold::ephemeral::worker_id::WorkerId;
 
@@ -65,7 +65,7 @@
     }
 
     /// Whether a question is for it, as far as its name tells.
-    pub fn is_named_in(&self, call: &HoldCall) -> bool {
+    pub fn is_named_in(&self, call: &PollCall) -> bool {
         let meant = call.worker.as_ref();
         meant.is_some_and(|meant| meant.name == self.id.name)
     }
@@ -105,7 +105,7 @@
             match (done, stopped, lapsed) {
                 (true, ..) => over.push((*run, WorkerEnd::Done)),
                 (_, true, _) => over.push((*run, WorkerEnd::Stopped)),
-                (_, _, true) => over.push((*run, WorkerEnd::Lapsed)),
+                (_, _, true) => over.push((*run, WorkerEnd::LeaseExpired)),
                 _ => {}
             }
         }
@@ -126,7 +126,7 @@
     /// Carries a start out; `true` if a new run began.
     pub fn start(&mut self, now_us: u64, call: &StartCall, work_us: u64) -> (StartReply, bool) {
         if call.worker.name != self.id.name {
-            return (StartReply::OtherLife, false);
+            return (StartReply::OtherIncarnation, false);
         }
         if !self.admits(call.fence) {
             return (StartReply::Rejected, false);
@@ -136,7 +136,7 @@
         }
         let highest = self.barred.get(&(call.run.job, call.run.index));
         if highest.is_some_and(|highest| *highest >= call.run.run) {
-            return (StartReply::Old, false);
+            return (StartReply::Stale, false);
         }
         if call.lease_until_ms <= self.clock_ms(now_us) {
             return (StartReply::Rejected, false);
@@ -173,13 +173,13 @@
         true
     }
 
-    pub fn hold(&mut self, now_us: u64, call: &HoldCall) -> HoldReply {
+    pub fn hold(&mut self, now_us: u64, call: &PollCall) -> PollReply {
         if !self.admits(call.fence.unwrap_or(0)) {
-            return HoldReply {
+            return PollReply {
                 born_ms: self.id.born_ms,
                 clock_ms: self.clock_ms(now_us),
                 fenced: true,
-                ..HoldReply::default()
+                ..PollReply::default()
             };
         }
         if let Some(until_ms) = call.lease_until_ms {
@@ -197,7 +197,7 @@
             run: *run,
             percent: percent(state),
         });
-        HoldReply {
+        PollReply {
             born_ms: self.id.born_ms,
             clock_ms: self.clock_ms(now_us),
             fenced: false,
--- a/tests/ephemeral_gate.rs
+++ b/tests/ephemeral_gate.rs
@@ -6,7 +6,7 @@
 use winghold::ephemeral::gate::GateAction;
 use winghold::ephemeral::job::{Priority, RunId};
 use winghold::ephemeral::message::{NotRunReason, OpenRun, RunEnd, ToGate};
-use winghold::ephemeral::worker::{HoldCall, HoldReply, OrderError, StartReply, WorkerEnd};
+use winghold::ephemeral::worker::{PollCall, PollReply, StartReply, WorkerCallError, WorkerEnd};
 
 #[test]
 fn what_fits_is_ordered_and_the_rest_waits() {
@@ -48,7 +48,7 @@
     bench.order(run(2), 600, 400);
     for _ in 0..3 {
         assert!(bench.stops().is_empty());
-        bench.started(run(1), Err(OrderError::Unanswered));
+        bench.started(run(1), Err(WorkerCallError::Unanswered));
     }
     assert_eq!(bench.stops(), [run(1)]);
     bench.lists(Vec::new(), Vec::new());
@@ -67,7 +67,7 @@
 fn a_lost_order_is_sent_again_to_the_same_worker() {
     let mut bench = Bench::ready();
     bench.order(run(1), 600, 100);
-    bench.started(run(1), Err(OrderError::Unanswered));
+    bench.started(run(1), Err(WorkerCallError::Unanswered));
     assert_eq!(bench.ordered(), [run(1), run(1)]);
     bench.started(run(1), Ok(StartReply::Running));
     assert!(bench.stops().is_empty());
@@ -82,7 +82,7 @@
     let mut bench = Bench::ready();
     bench.order(run(1), 600, 100);
     bench.now.mono_us += 2_000 * MS;
-    bench.started(run(1), Err(OrderError::Unanswered));
+    bench.started(run(1), Err(WorkerCallError::Unanswered));
     assert_eq!(bench.ordered(), [run(1)]);
 }
 
@@ -92,8 +92,8 @@
 fn a_second_copy_that_is_turned_down_does_not_say_that_the_first_never_ran() {
     let mut bench = Bench::ready();
     bench.order(run(1), 600, 100);
-    bench.started(run(1), Err(OrderError::Unanswered));
-    bench.started(run(1), Ok(StartReply::Old));
+    bench.started(run(1), Err(WorkerCallError::Unanswered));
+    bench.started(run(1), Ok(StartReply::Stale));
     assert!(bench.ends().is_empty());
     bench.lists(Vec::new(), vec![(1, run(1), WorkerEnd::Done)]);
     assert_eq!(bench.ends(), [(run(1), RunEnd::Done)]);
@@ -104,7 +104,7 @@
     let mut bench = Bench::ready();
     bench.order(run(1), 600, 100);
     bench.lists(vec![(run(1), 10)], Vec::new());
-    bench.started(run(1), Err(OrderError::Unanswered));
+    bench.started(run(1), Err(WorkerCallError::Unanswered));
     assert!(bench.stops().is_empty());
     bench.lists(Vec::new(), vec![(1, run(1), WorkerEnd::Done)]);
     assert_eq!(bench.ends(), [(run(1), RunEnd::Done)]);
@@ -119,7 +119,7 @@
     bench.gate.message(bench.now, ENTRY, message);
     bench.collect();
     bench.pass(100);
-    bench.stopped(run(1), Err(OrderError::Unanswered));
+    bench.stopped(run(1), Err(WorkerCallError::Unanswered));
     assert_eq!(bench.stops(), [run(1), run(1)]);
 }
 
@@ -132,7 +132,7 @@
     let message = ToGate::Stop { run: run(1) };
     bench.gate.message(bench.now, ENTRY, message);
     bench.collect();
-    bench.stopped(run(1), Err(OrderError::Unanswered));
+    bench.stopped(run(1), Err(WorkerCallError::Unanswered));
     assert_eq!(bench.stops(), [run(1)]);
     bench.gate.heard(bench.now, ENTRY);
     bench.pass(170);
@@ -194,7 +194,7 @@
     let renewals = bench
         .actions
         .iter()
-        .filter(|action| matches!(action, GateAction::Hold(call) if call.lease_until_ms.is_some()));
+        .filter(|action| matches!(action, GateAction::Poll(call) if call.lease_until_ms.is_some()));
     // Seed 3,059 of `ephemeral_safety`: gates that died one after the other each
     // prolonged a run whose entry was gone.
     assert_eq!(renewals.count(), 0, "an orphan is not prolonged");
@@ -382,27 +382,27 @@
     bench.hello(Vec::new());
     bench.order(run(1), 100, 300);
     assert!(bench.ordered().is_empty());
-    let fenced = HoldReply {
+    let fenced = PollReply {
         clock_ms: 9_000,
         fenced: true,
-        ..HoldReply::default()
+        ..PollReply::default()
     };
-    let call = HoldCall {
+    let call = PollCall {
         worker: Some("w".into()),
         fence: Some(FENCE),
         lease_until_ms: None,
         acked_end: 0,
         wait_ms: 0,
-        limit: std::time::Duration::from_millis(25),
-        retry: std::time::Duration::from_millis(20),
+        timeout: std::time::Duration::from_millis(25),
+        retry_delay: std::time::Duration::from_millis(20),
         check: false,
     };
     let sent = bench.now;
-    bench.gate.hold_answered(bench.now, sent, &call, Ok(fenced));
+    bench.gate.poll_answered(bench.now, sent, &call, Ok(fenced));
     bench.collect();
     assert!(bench.ordered().is_empty());
     let next = bench.actions.iter().rev().find_map(|action| match action {
-        GateAction::Hold(call) => Some(call.fence),
+        GateAction::Poll(call) => Some(call.fence),
         _ => None,
     });
     assert_eq!(next, Some(Some(9_001)));
--- a/tests/ephemeral_losses.rs
+++ b/tests/ephemeral_losses.rs
@@ -15,7 +15,7 @@
 use winghold::ephemeral::losses::{GivenUp, LossLog, WorkerLoss};
 use winghold::ephemeral::message::{GateLoad, NotRunReason, RunEnd, ToEntry, ToGate, WorkerTraits};
 use winghold::ephemeral::session::SessionId;
-use winghold::ephemeral::worker::{OrderError, StartReply, WorkerEnd};
+use winghold::ephemeral::worker::{StartReply, WorkerCallError, WorkerEnd};
 use winghold::time::Moment;
 
 /// A loss under a run that was not over, as a likely reason or not.
@@ -50,7 +50,7 @@
 
 fn recorded(bench: &GateBench) -> Vec<WorkerLoss> {
     let recorded = bench.actions.iter().filter_map(|action| match action {
-        GateAction::Record(losses) => Some(losses.clone()),
+        GateAction::StoreLosses(losses) => Some(losses.clone()),
         _ => None,
     });
     recorded.last().unwrap_or_default()
@@ -69,7 +69,7 @@
 #[test]
 fn a_worker_that_refuses_is_lost_under_what_ran_there() {
     let mut bench = running(10);
-    bench.stopped(run(9), Err(OrderError::Refused));
+    bench.stopped(run(9), Err(WorkerCallError::Refused));
     assert_eq!(told(&bench), [loss(1, "w", true)]);
     assert_eq!(recorded(&bench), [loss(1, "w", true)]);
     let told_at = |action: &GateAction| {
@@ -97,7 +97,7 @@
 #[test]
 fn a_loss_late_in_a_run_is_told_as_such() {
     let mut bench = running(30);
-    bench.stopped(run(9), Err(OrderError::Refused));
+    bench.stopped(run(9), Err(WorkerCallError::Refused));
     assert_eq!(told(&bench), [loss(1, "w", false)]);
 }
 
@@ -105,9 +105,9 @@
 #[test]
 fn the_age_of_a_run_counts_until_the_hold_failed() {
     let mut bench = running(20);
-    bench.gate.hold_failed(bench.now, true);
+    bench.gate.poll_failed(bench.now, true);
     bench.pass(25);
-    bench.stopped(run(9), Err(OrderError::Refused));
+    bench.stopped(run(9), Err(WorkerCallError::Refused));
     assert_eq!(told(&bench), [loss(1, "w", true)]);
 }
 
@@ -116,7 +116,7 @@
     let mut bench = running(10);
     bench.gate.worker_report(bench.now, report("w", true, 2));
     bench.collect();
-    bench.stopped(run(9), Err(OrderError::Refused));
+    bench.stopped(run(9), Err(WorkerCallError::Refused));
     assert_eq!(bench.ends(), [(run(1), RunEnd::Stopped)]);
     assert!(told(&bench).is_empty() && recorded(&bench).is_empty());
     let mut bench = running(10);
@@ -128,9 +128,9 @@
 #[test]
 fn a_worker_that_falls_silent_is_lost_once_its_lease_is_over() {
     let mut bench = running(10);
-    bench.gate.hold_failed(bench.now, true);
+    bench.gate.poll_failed(bench.now, true);
     for _ in 0..3 {
-        bench.started(run(8), Err(OrderError::Unanswered));
+        bench.started(run(8), Err(WorkerCallError::Unanswered));
     }
     for _ in 0..8 {
         assert!(bench.ends().is_empty() == told(&bench).is_empty());
@@ -149,8 +149,8 @@
     let mut bench = running(10);
     bench.order(run(2), 100, 100);
     bench.order(run(3), 100, 100);
-    bench.started(run(3), Err(OrderError::Unanswered));
-    bench.started(run(2), Err(OrderError::Refused));
+    bench.started(run(3), Err(WorkerCallError::Unanswered));
+    bench.started(run(2), Err(WorkerCallError::Refused));
     let told = told(&bench);
     assert!(told.contains(&loss(1, "w", true)), "{told:?}");
     assert!(told.iter().all(|loss| loss.job != JobId(2)), "{told:?}");
@@ -164,13 +164,13 @@
 fn an_order_whose_answer_comes_after_the_loss_counts_if_the_worker_had_it() {
     for (answer, losses) in [
         (Ok(StartReply::Running), vec![loss(2, "w", false)]),
-        (Err(OrderError::Unanswered), vec![possible(2, "w")]),
-        (Err(OrderError::Refused), vec![]),
-        (Err(OrderError::OtherLife), vec![]),
+        (Err(WorkerCallError::Unanswered), vec![possible(2, "w")]),
+        (Err(WorkerCallError::Refused), vec![]),
+        (Err(WorkerCallError::OtherIncarnation), vec![]),
     ] {
         let mut bench = GateBench::ready();
         bench.order(run(2), 100, 100);
-        bench.stopped(run(9), Err(OrderError::Refused));
+        bench.stopped(run(9), Err(WorkerCallError::Refused));
         assert!(told(&bench).is_empty());
         bench.started(run(2), answer);
         assert_eq!(told(&bench), losses, "{answer:?}");
@@ -185,7 +185,7 @@
     bench.order(run(2), 100, 100);
     bench.started(run(2), Ok(StartReply::Running));
     bench.pass(5);
-    bench.stopped(run(9), Err(OrderError::Refused));
+    bench.stopped(run(9), Err(WorkerCallError::Refused));
     assert_eq!(told(&bench), [loss(1, "w", false), loss(2, "w", true)]);
 }
 
@@ -207,7 +207,7 @@
 #[test]
 fn an_entry_that_connects_is_told_what_earlier_gates_and_others_knew() {
     let mut bench = GateBench::ready();
-    bench.gate.recall_losses(vec![loss(1, "w-0", true)]);
+    bench.gate.restore_losses(vec![loss(1, "w-0", true)]);
     let heard = ToGate::Losses(vec![loss(2, "w-1", false)]);
     bench.gate.message(bench.now, gate_bench::ENTRY, heard);
     assert!(told(&bench).is_empty(), "it is not told what it said");
@@ -283,7 +283,7 @@
 #[test]
 fn a_run_that_may_have_been_over_is_a_possible_loss() {
     let mut bench = running(34);
-    bench.stopped(run(9), Err(OrderError::Refused));
+    bench.stopped(run(9), Err(WorkerCallError::Refused));
     assert_eq!(told(&bench), [possible(1, "w")]);
 }
 
@@ -296,7 +296,7 @@
     bench.gate.worker_report(bench.now, report("w-2", false, 2));
     bench.collect();
     bench.answer_first_hold();
-    for refused in [OrderError::Refused, OrderError::OtherLife] {
+    for refused in [WorkerCallError::Refused, WorkerCallError::OtherIncarnation] {
         bench
             .gate
             .start_answered(bench.now, &"w".into(), run(1), Err(refused));
--- a/tests/ephemeral_restarts.rs
+++ b/tests/ephemeral_restarts.rs
@@ -8,7 +8,7 @@
 use winghold::ephemeral::job::RunId;
 use winghold::ephemeral::message::RunEnd;
 use winghold::ephemeral::worker::{
-    EndedRow, HoldCall, HoldReply, OrderError, RunningRow, StartAnswer, StartReply, WorkerEnd,
+    EndedRow, PollCall, PollReply, RunningRow, StartAnswer, StartReply, WorkerCallError, WorkerEnd,
     WorkerReport,
 };
 use winghold::ephemeral::worker_id::WorkerId;
@@ -34,7 +34,7 @@
 
 /// Whether the worker is to answer it.
 fn is_open(action: &mut GateAction) -> bool {
-    matches!(action, GateAction::Hold(_) | GateAction::Stop(_))
+    matches!(action, GateAction::Poll(_) | GateAction::Stop(_))
 }
 
 /// A gate beside a worker that tells its birth, and the answers of that worker.
@@ -106,11 +106,11 @@
         self.bench.collect();
     }
 
-    fn lists(&self, call: &HoldCall) -> HoldReply {
+    fn lists(&self, call: &PollCall) -> PollReply {
         let admitted = call.fence.is_none_or(|fence| fence >= self.fence);
         let running = self.running.iter().filter(|_| admitted);
         let ended = self.ended.iter().filter(|_| admitted);
-        HoldReply {
+        PollReply {
             born_ms: self.worker.born_ms,
             clock_ms: self.clock_ms,
             fenced: !admitted,
@@ -139,19 +139,19 @@
         let now = self.bench.now;
         for action in actions {
             match action {
-                GateAction::Hold(call) => {
+                GateAction::Poll(call) => {
                     let reply = self.lists(&call);
                     self.fence = self.fence.max(call.fence.unwrap_or(0));
                     if call.worker.as_ref() == Some(&self.worker) {
                         self.acked_end = self.acked_end.max(call.acked_end);
                     }
                     let gate = &mut self.bench.gate;
-                    gate.hold_answered(now, sent, &call, Ok(reply));
+                    gate.poll_answered(now, sent, &call, Ok(reply));
                 }
                 GateAction::Stop(call) => {
                     let answer = match call.fence >= self.fence {
                         true => Ok(()),
-                        false => Err(OrderError::Protocol),
+                        false => Err(WorkerCallError::Protocol),
                     };
                     if answer.is_ok() {
                         self.running.retain(|run| *run != call.run);
@@ -373,7 +373,7 @@
 fn a_report_without_a_birth_is_not_followed_after_the_worker_is_gone() {
     let mut restarts = Restarts::ready();
     let now = restarts.bench.now;
-    let refused = Err(OrderError::Refused);
+    let refused = Err(WorkerCallError::Refused);
     let gate = &mut restarts.bench.gate;
     gate.start_answered(now, &born(BORN_MS), run(9), refused);
     gate.worker_report(now, report("x", false, 99));
@@ -391,10 +391,10 @@
     restarts.report(born(LATER_MS), 1);
     restarts.pass(1_100);
     let now = restarts.bench.now;
-    let refused = Err(OrderError::Refused);
+    let refused = Err(WorkerCallError::Refused);
     let gate = &mut restarts.bench.gate;
     gate.start_answered(now, &born(BORN_MS), run(9), refused);
-    gate.stop_answered(now, &born(BORN_MS), run(9), Err(OrderError::Refused));
+    gate.stop_answered(now, &born(BORN_MS), run(9), Err(WorkerCallError::Refused));
     assert_eq!(restarts.knows(), Some(born(LATER_MS)));
 }
 
@@ -431,7 +431,7 @@
     gate.start_answered(now, &born(BORN_MS), run(1), Ok(answer));
     restarts.bench.collect();
     let asked = restarts.bench.actions.iter().any(|action| match action {
-        GateAction::Hold(call) => call.check,
+        GateAction::Poll(call) => call.check,
         _ => false,
     });
     assert!(asked, "the worker is asked at once");
--- a/tests/ephemeral_worker_life.rs
+++ b/tests/ephemeral_worker_life.rs
@@ -5,7 +5,7 @@
 use gate_bench::*;
 use winghold::ephemeral::gate::GateAction;
 use winghold::ephemeral::message::{NotRunReason, RunEnd, ToGate};
-use winghold::ephemeral::worker::{OrderError, StartReply, WorkerEnd, WorkerReport};
+use winghold::ephemeral::worker::{StartReply, WorkerCallError, WorkerEnd, WorkerReport};
 
 #[test]
 fn a_mute_worker_gets_no_orders_and_its_runs_end_with_their_lease() {
@@ -14,9 +14,9 @@
     bench.started(run(1), Ok(StartReply::Running));
     bench.order(run(2), 100, 100);
     bench.pass(130);
-    bench.started(run(2), Err(OrderError::Unanswered));
-    bench.stopped(run(2), Err(OrderError::Unanswered));
-    bench.stopped(run(2), Err(OrderError::Unanswered));
+    bench.started(run(2), Err(WorkerCallError::Unanswered));
+    bench.stopped(run(2), Err(WorkerCallError::Unanswered));
+    bench.stopped(run(2), Err(WorkerCallError::Unanswered));
     bench.order(run(3), 100, 100);
     let end = RunEnd::NotRun(NotRunReason::NoWorker);
     assert_eq!(bench.ends(), [(run(3), end)]);
@@ -111,8 +111,8 @@
     bench.order(run(2), 200, 100);
     bench.gate.worker_report(bench.now, report("w2", false, 1));
     bench.another_life_answers();
-    bench.started(run(1), Ok(StartReply::OtherLife));
-    bench.stopped(run(2), Err(OrderError::OtherLife));
+    bench.started(run(1), Ok(StartReply::OtherIncarnation));
+    bench.stopped(run(2), Err(WorkerCallError::OtherIncarnation));
     bench.pass(20);
     let worker = bench.last_load().worker.map(|worker| worker.id.clone());
     assert_eq!(worker, Some("w2".into()));
@@ -123,9 +123,9 @@
     let mut bench = Bench::ready();
     bench.order(run(1), 600, 100);
     bench.actions.clear();
-    bench.started(run(1), Ok(StartReply::OtherLife));
+    bench.started(run(1), Ok(StartReply::OtherIncarnation));
     let asked = bench.actions.iter().any(|action| match action {
-        GateAction::Hold(call) => call.check && call.worker == Some("w".into()),
+        GateAction::Poll(call) => call.check && call.worker == Some("w".into()),
         _ => false,
     });
     assert!(asked);
@@ -157,7 +157,7 @@
     bench.started(run(1), Ok(StartReply::Running));
     bench.pass(130);
     for _ in 0..3 {
-        bench.stopped(run(9), Err(OrderError::Unanswered));
+        bench.stopped(run(9), Err(WorkerCallError::Unanswered));
     }
     bench.gate.worker_report(bench.now, report("w2", false, 1));
     bench.pass(100);
@@ -225,14 +225,14 @@
     for _ in 0..1_200 {
         for action in std::mem::take(&mut bench.actions) {
             match action {
-                GateAction::Hold(call) => {
+                GateAction::Poll(call) => {
                     dials += 1;
-                    let due_us = bench.now.mono_us + call.retry.as_micros() as u64;
+                    let due_us = bench.now.mono_us + call.retry_delay.as_micros() as u64;
                     holds.push((due_us, bench.now, call));
                 }
                 GateAction::Stop(call) => {
                     dials += 1;
-                    bench.stopped(call.run, Err(OrderError::Unanswered));
+                    bench.stopped(call.run, Err(WorkerCallError::Unanswered));
                 }
                 GateAction::Start(call) => panic!("{} is ordered", call.run),
                 _ => {}
@@ -242,8 +242,8 @@
         bench.pass(5);
         let now = bench.now;
         for (_, sent, call) in holds.extract_if(.., |(due_us, ..)| *due_us <= now.mono_us) {
-            let unanswered = Err(OrderError::Unanswered);
-            bench.gate.hold_answered(now, sent, &call, unanswered);
+            let unanswered = Err(WorkerCallError::Unanswered);
+            bench.gate.poll_answered(now, sent, &call, unanswered);
         }
         bench.collect();
     }
--- a/tests/gate_bench/mod.rs
+++ b/tests/gate_bench/mod.rs
@@ -10,7 +10,7 @@
 };
 use winghold::ephemeral::session::SessionId;
 use winghold::ephemeral::worker::{
-    EndedRow, HoldCall, HoldReply, OrderError, RunningRow, StartAnswer, StartReply, WorkerEnd,
+    EndedRow, PollCall, PollReply, RunningRow, StartAnswer, StartReply, WorkerCallError, WorkerEnd,
     WorkerReport,
 };
 use winghold::ephemeral::worker_id::WorkerId;
@@ -115,17 +115,17 @@
     /// The worker answers the hold that asks for its clock only.
     pub fn answer_first_hold(&mut self) {
         let holds = self.actions.iter().find_map(|action| match action {
-            GateAction::Hold(call) => Some(call.clone()),
+            GateAction::Poll(call) => Some(call.clone()),
             _ => None,
         });
         let call = holds.expect("a hold");
         assert_eq!(call.fence, None);
-        let reply = HoldReply {
+        let reply = PollReply {
             clock_ms: FENCE - 1,
-            ..HoldReply::default()
+            ..PollReply::default()
         };
         let sent = self.now;
-        self.gate.hold_answered(self.now, sent, &call, Ok(reply));
+        self.gate.poll_answered(self.now, sent, &call, Ok(reply));
         self.collect();
     }
 
@@ -185,7 +185,7 @@
         self.collect();
     }
 
-    pub fn started(&mut self, run: RunId, answer: Result<StartReply, OrderError>) {
+    pub fn started(&mut self, run: RunId, answer: Result<StartReply, WorkerCallError>) {
         let answer = answer.map(|reply| StartAnswer {
             reply,
             clock_ms: Some(5_100),
@@ -195,7 +195,7 @@
         self.collect();
     }
 
-    pub fn stopped(&mut self, run: RunId, answer: Result<(), OrderError>) {
+    pub fn stopped(&mut self, run: RunId, answer: Result<(), WorkerCallError>) {
         let worker = self.worker();
         self.gate.stop_answered(self.now, &worker, run, answer);
         self.collect();
@@ -203,14 +203,14 @@
 
     /// The worker lists what runs and what ended.
     pub fn lists(&mut self, running: Vec<(RunId, u32)>, ended: Vec<(u64, RunId, WorkerEnd)>) {
-        let call = HoldCall {
+        let call = PollCall {
             worker: Some("w".into()),
             fence: Some(FENCE),
             lease_until_ms: None,
             acked_end: 0,
             wait_ms: 200,
-            limit: std::time::Duration::from_millis(25),
-            retry: std::time::Duration::from_millis(20),
+            timeout: std::time::Duration::from_millis(25),
+            retry_delay: std::time::Duration::from_millis(20),
             check: false,
         };
         let running = running
@@ -219,7 +219,7 @@
         let ended = ended
             .into_iter()
             .map(|(number, run, end)| EndedRow { number, run, end });
-        let reply = HoldReply {
+        let reply = PollReply {
             born_ms: None,
             clock_ms: 5_000,
             fenced: false,
@@ -227,32 +227,32 @@
             ended: ended.collect(),
         };
         let sent = self.now;
-        self.gate.hold_answered(self.now, sent, &call, Ok(reply));
+        self.gate.poll_answered(self.now, sent, &call, Ok(reply));
         self.collect();
     }
 
     /// The worker says that the life that the gate means is not there.
     pub fn another_life_answers(&mut self) {
-        let call = HoldCall {
+        let call = PollCall {
             worker: Some(self.worker()),
             fence: None,
             lease_until_ms: None,
             acked_end: 0,
             wait_ms: 0,
-            limit: std::time::Duration::from_millis(25),
-            retry: std::time::Duration::from_millis(20),
+            timeout: std::time::Duration::from_millis(25),
+            retry_delay: std::time::Duration::from_millis(20),
             check: true,
         };
-        let answer = Err(OrderError::OtherLife);
+        let answer = Err(WorkerCallError::OtherIncarnation);
         let sent = self.now;
-        self.gate.hold_answered(self.now, sent, &call, answer);
+        self.gate.poll_answered(self.now, sent, &call, answer);
         self.pass(20);
     }
 
     /// The worker that orders go to.
     pub fn worker(&self) -> WorkerId {
         let aims = self.actions.iter().filter_map(|action| match action {
-            GateAction::Aim(worker) => Some(worker.traits.id.clone()),
+            GateAction::SetWorker(worker) => Some(worker.traits.id.clone()),
             _ => None,
         });
         aims.last().unwrap_or_else(|| "w".into())
--- a/tests/large_fleet/gates.rs
+++ b/tests/large_fleet/gates.rs
@@ -7,7 +7,7 @@
 use winghold::ephemeral::limits::Limits;
 use winghold::ephemeral::message::{ProcessId, ToEntry, ToGate};
 use winghold::ephemeral::session::SessionId;
-use winghold::ephemeral::worker::{HoldCall, StartAnswer, StartCall, StopCall, WorkerReport};
+use winghold::ephemeral::worker::{PollCall, StartAnswer, StartCall, StopCall, WorkerReport};
 use winghold::logging;
 use winghold::time::Moment;
 
@@ -19,7 +19,7 @@
 enum Answer {
     Start(StartCall, StartAnswer),
     Stop(StopCall),
-    Hold(Moment, HoldCall),
+    Hold(Moment, PollCall),
 }
 
 pub struct GateSide {
@@ -107,12 +107,12 @@
                     side.gate.stop_answered(now, &call.worker, call.run, Ok(()));
                 }
                 Answer::Hold(sent, call) => {
-                    let renewed = HoldCall {
+                    let renewed = PollCall {
                         lease_until_ms: None,
                         ..call.clone()
                     };
                     let reply = worker.hold(now.mono_us, &renewed);
-                    side.gate.hold_answered(now, sent, &call, Ok(reply));
+                    side.gate.poll_answered(now, sent, &call, Ok(reply));
                 }
             }
         }
@@ -127,7 +127,7 @@
                     outbox.entry(session).or_default().push(message);
                 }
                 GateAction::Close(session) => self.close(session),
-                GateAction::Aim(_) | GateAction::Record(_) => {}
+                GateAction::SetWorker(_) | GateAction::StoreLosses(_) => {}
                 GateAction::Start(call) => {
                     let work_us = self.work_us(index, call.run);
                     let worker = &mut self.workers[index];
@@ -141,7 +141,7 @@
                     let _ = self.workers[index].stop(now.mono_us, call.run, call.fence);
                     self.answer_in(index, STEP_US, Answer::Stop(call));
                 }
-                GateAction::Hold(call) => {
+                GateAction::Poll(call) => {
                     let worker = &mut self.workers[index];
                     worker.hold(now.mono_us, &call);
                     let wait_us = call.wait_ms * 1_000 + STEP_US;
