--- a/src/ephemeral/agent.rs
+++ b/src/ephemeral/agent.rs
@@ -1,4 +1,4 @@
-//! The loop beside a worker: feeds the gate and carries out what it asks for.
+//! Event loop of an agent: passes events to the gate and executes its actions.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -8,12 +8,12 @@
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender, unbounded_channel};
 use tokio::sync::watch;
 
-use crate::ephemeral::directory::{Published, WorkerRecord};
+use crate::ephemeral::directory::{PublishedState, WorkerRecord};
 use crate::ephemeral::gate::{Gate, GateAction};
 use crate::ephemeral::job::RunId;
 use crate::ephemeral::limits::Limits;
 use crate::ephemeral::message::{ProcessId, ToEntry, ToGate};
-use crate::ephemeral::session::{SessionEvent, SessionId, SessionLoss, Sessions};
+use crate::ephemeral::session::{SessionEndCause, SessionEvent, SessionId, Sessions};
 use crate::ephemeral::suspension::Suspension;
 use crate::ephemeral::worker::{
     HoldCall, HoldReply, OrderError, OrderedWorker, StartAnswer, WorkerReport,
@@ -22,26 +22,26 @@
 use crate::metrics::Metrics;
 use crate::time::{Moment, Timer, micros};
 
-/// Pause after a connection could not be accepted.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+/// Pause after a failed `accept`.
+const ACCEPT_RETRY_PAUSE: Duration = Duration::from_millis(50);
 
-/// What an agent is made of.
+/// Settings and dependencies of an agent.
 pub struct AgentParts {
-    /// The process.
-    pub me: ProcessId,
-    /// Spans of sessions and leases.
+    /// Identity of the process.
+    pub process: ProcessId,
+    /// Timeouts of sessions and leases.
     pub limits: Limits,
-    /// The worker.
+    /// Client of the worker.
     pub worker: Arc<dyn OrderedWorker>,
-    /// What the record in the store says.
-    pub published: watch::Sender<Published>,
-    /// Whether it will be told whether its failure domain is evacuated.
+    /// State to publish in the gate's record in the store.
+    pub published: watch::Sender<PublishedState>,
+    /// Whether the agent is notified of evacuations of its failure domain.
     pub evacuations: bool,
-    /// Timer service.
+    /// Clock and timers.
     pub timer: Timer,
-    /// Where counts go.
+    /// Sink for metrics.
     pub metrics: Metrics,
-    /// Where events are logged.
+    /// Logger.
     pub log: Logger,
 }
 
@@ -49,52 +49,52 @@
     Accepted(TcpStream),
     Session(SessionEvent<ToGate>),
     Report(Box<WorkerReport>),
-    Left(WorkerId),
-    Recalled(Box<Published>),
-    /// With the life of the worker that was meant; so the next one.
+    WorkerLeft(WorkerId),
+    Restored(Box<PublishedState>),
+    /// Names the worker incarnation that was called, as does `Stopped`.
     Started(WorkerId, RunId, Result<StartAnswer, OrderError>),
     Stopped(WorkerId, RunId, Result<(), OrderError>),
     Held(Moment, HoldCall, Result<HoldReply, OrderError>),
-    /// A hold failed, and whether it broke off; its answer follows after a pause.
+    /// A hold failed; `true` if before its time limit. `Held` follows after a pause.
     HoldFailed(bool),
     Evacuated(bool),
     Leave,
 }
 
-/// Handle on an agent for the side that the worker reports to.
+/// Handle for the side of an agent that receives the worker's reports.
 #[derive(Clone)]
 pub struct AgentHandle {
     events: UnboundedSender<Event>,
 }
 
 impl AgentHandle {
-    /// The worker reports itself.
+    /// Passes on a report of the worker.
     pub fn report(&self, report: WorkerReport) {
         let _ = self.events.send(Event::Report(Box::new(report)));
     }
 
-    /// What an earlier process on this machine published.
-    pub fn recall(&self, published: Published) {
-        let _ = self.events.send(Event::Recalled(Box::new(published)));
+    /// Restores the state that an earlier process on this instance published.
+    pub fn restore(&self, published: PublishedState) {
+        let _ = self.events.send(Event::Restored(Box::new(published)));
     }
 
-    /// This life of the worker says that it ends.
-    pub fn left(&self, worker: WorkerId) {
-        let _ = self.events.send(Event::Left(worker));
+    /// Reports that this incarnation of the worker is shutting down.
+    pub fn worker_left(&self, worker: WorkerId) {
+        let _ = self.events.send(Event::WorkerLeft(worker));
     }
 
-    /// Its failure domain is evacuated, or taken back; `false` if the agent is gone.
-    pub fn evacuate(&self, evacuated: bool) -> bool {
+    /// Sets whether the failure domain is evacuated; returns `false` if the agent has ended.
+    pub fn set_evacuated(&self, evacuated: bool) -> bool {
         self.events.send(Event::Evacuated(evacuated)).is_ok()
     }
 
-    /// Takes no more work, and ends once what runs is over.
+    /// Stops taking work; the agent ends once its runs are over.
     pub fn leave(&self) {
         let _ = self.events.send(Event::Leave);
     }
 }
 
-/// An agent.
+/// Runs the gate of one worker.
 pub struct Agent {
     parts: AgentParts,
     gate: Gate,
@@ -102,39 +102,38 @@
     tx: UnboundedSender<Event>,
     rx: UnboundedReceiver<Event>,
     leaving: bool,
-    shown_us: u64,
+    metrics_reported_us: u64,
 }
 
 impl Agent {
-    /// An agent that takes sessions on `listener`, and the handle for the side
-    /// that its worker reports to.
+    /// Creates an agent that accepts sessions on `listener`, and its handle.
     pub fn new(parts: AgentParts, listener: TcpListener) -> (Agent, AgentHandle) {
         let (tx, rx) = unbounded_channel();
-        let forward = tx.clone();
-        let tell = move |event| forward.send(Event::Session(event)).is_ok();
+        let events = tx.clone();
+        let on_event = move |event| events.send(Event::Session(event)).is_ok();
         tokio::spawn(accept(
             listener,
             tx.clone(),
             parts.timer.clone(),
             parts.log.clone(),
         ));
-        let mut gate = Gate::new(parts.me.clone(), parts.limits, parts.log.clone());
+        let mut gate = Gate::new(parts.process.clone(), parts.limits, parts.log.clone());
         if parts.evacuations {
             gate.expect_evacuation(parts.timer.now());
         }
         let agent = Agent {
             gate,
-            sessions: Sessions::new(parts.timer.clone(), tell),
+            sessions: Sessions::new(parts.timer.clone(), on_event),
             tx: tx.clone(),
             rx,
             leaving: false,
-            shown_us: 0,
+            metrics_reported_us: 0,
             parts,
         };
         (agent, AgentHandle { events: tx })
     }
 
-    /// Runs until it was asked to leave and nothing runs any more.
+    /// Runs until the agent was asked to leave and all runs are over.
     pub async fn run(mut self) {
         let mut suspension = Suspension::new(self.parts.timer.now());
         loop {
@@ -143,7 +142,7 @@
             let event = timer.within(pause, self.rx.recv()).await.flatten();
             let now = self.parts.timer.now();
             if let Some(gap) = suspension.turn(now) {
-                warn!(self.parts.log, "process stood still"; "gap_ms" => gap.as_millis() as u64);
+                warn!(self.parts.log, "process was suspended"; "gap_ms" => gap.as_millis() as u64);
             }
             if let Some(event) = event {
                 self.handle(now, event);
@@ -152,14 +151,17 @@
                 self.handle(now, event);
             }
             self.gate.tick(now);
-            self.act(now);
-            self.show_figures(now);
+            self.execute_actions(now);
+            self.report_metrics(now);
             if self.leaving && self.gate.idle() {
                 break;
             }
         }
-        // The last frames leave before the sockets close.
-        self.parts.timer.sleep(self.parts.limits.beat).await;
+        // Leaves time to send the last frames before the sockets close.
+        self.parts
+            .timer
+            .sleep(self.parts.limits.heartbeat_interval)
+            .await;
     }
 
     fn handle(&mut self, now: Moment, event: Event) {
@@ -169,10 +171,10 @@
             }
             Event::Session(SessionEvent::Frame { session, frame }) => {
                 let age_us = self.sessions.age_us(now, session, frame.sent_us);
-                if age_us > micros(self.parts.limits.frame_age) {
-                    warn!(self.parts.log, "frame came late"; "session" => session.0,
-                        "age_us" => age_us);
-                    self.lose(session, SessionLoss::LateFrame);
+                if age_us > micros(self.parts.limits.max_frame_age) {
+                    warn!(self.parts.log, "frame exceeded the maximum age; closing session";
+                        "session" => session.0, "age_us" => age_us);
+                    self.end_session(session, SessionEndCause::LateFrame);
                     return;
                 }
                 if !self.sessions.is_open(session) {
@@ -184,16 +186,16 @@
                 self.gate.heard(now, session);
             }
             Event::Session(SessionEvent::Closed(session)) => {
-                self.lose(session, SessionLoss::Closed);
+                self.end_session(session, SessionEndCause::Closed);
             }
             Event::Report(report) => self.gate.worker_report(now, *report),
-            Event::Recalled(published) => {
+            Event::Restored(published) => {
                 if let Some(worker) = &published.worker {
                     self.gate.recall_worker(now, worker);
                 }
                 self.gate.recall_losses(published.losses);
             }
-            Event::Left(worker) => self.gate.worker_left(now, &worker),
+            Event::WorkerLeft(worker) => self.gate.worker_left(now, &worker),
             Event::Started(worker, run, answer) => {
                 self.gate.start_answered(now, &worker, run, answer);
             }
@@ -201,21 +203,21 @@
                 self.gate.stop_answered(now, &worker, run, answer);
             }
             Event::Held(sent, call, answer) => self.gate.hold_answered(now, sent, &call, answer),
-            Event::HoldFailed(broke) => self.gate.hold_failed(now, broke),
+            Event::HoldFailed(ended_early) => self.gate.hold_failed(now, ended_early),
             Event::Evacuated(evacuated) => {
                 let gauge = u64::from(evacuated);
                 self.parts.metrics.gauge("evacuated", gauge);
                 self.gate.evacuate(now, evacuated);
             }
             Event::Leave => {
-                info!(self.parts.log, "agent is leaving"; "idle" => self.gate.idle());
+                info!(self.parts.log, "agent is shutting down"; "idle" => self.gate.idle());
                 self.leaving = true;
                 self.gate.leave(now);
             }
         }
     }
 
-    fn aim(&self, worker: WorkerRecord) {
+    fn set_worker(&self, worker: WorkerRecord) {
         self.parts.worker.aim(&worker.addr);
         self.parts.published.send_if_modified(|published| {
             let changed = published.worker.as_ref() != Some(&worker);
@@ -224,39 +226,40 @@
         });
     }
 
-    fn lose(&mut self, session: SessionId, cause: SessionLoss) {
+    fn end_session(&mut self, session: SessionId, cause: SessionEndCause) {
         cause.count(&self.parts.metrics);
         self.sessions.close(session);
         self.gate.session_closed(session);
     }
 
-    fn act(&mut self, now: Moment) {
+    fn execute_actions(&mut self, now: Moment) {
         for action in self.gate.take_actions(now) {
-            self.carry_out(now, action);
+            self.execute(now, action);
         }
         for session in self.sessions.flush() {
-            warn!(self.parts.log, "entry does not keep up"; "session" => session.0);
-            self.lose(session, SessionLoss::Stuck);
+            warn!(self.parts.log, "cannot queue frame for entry; closing session";
+                "session" => session.0);
+            self.end_session(session, SessionEndCause::Stuck);
         }
     }
 
-    /// Shows the figures of now, once a heartbeat.
-    fn show_figures(&mut self, now: Moment) {
-        if now.mono_us >= self.shown_us + micros(self.parts.limits.beat) {
-            self.shown_us = now.mono_us;
+    /// Updates the metrics, once per heartbeat interval.
+    fn report_metrics(&mut self, now: Moment) {
+        if now.mono_us >= self.metrics_reported_us + micros(self.parts.limits.heartbeat_interval) {
+            self.metrics_reported_us = now.mono_us;
             let metrics = &self.parts.metrics;
-            self.sessions.show_counts(metrics);
+            self.sessions.report_frame_counts(metrics);
             self.gate.show_queue(now, metrics);
             let percent = self.gate.slowness_percent();
             metrics.gauge("worker_slowness_percent", u64::from(percent));
         }
     }
 
-    fn count(&self, message: &ToEntry) {
+    fn count_message(&self, message: &ToEntry) {
         let metrics = &self.parts.metrics;
         match message {
             ToEntry::Ended { end, run_us, .. } => {
-                metrics.count(&format!("runs.{}", end.name()), 1);
+                metrics.count(&format!("runs.{}", end.metric_name()), 1);
                 metrics.time("run_ms", run_us / 1_000);
             }
             ToEntry::ConfigPart(part) => part.count_sent(metrics),
@@ -264,15 +267,15 @@
         }
     }
 
-    fn carry_out(&mut self, now: Moment, action: GateAction) {
+    fn execute(&mut self, now: Moment, action: GateAction) {
         let tx = self.tx.clone();
         match action {
             GateAction::Send { session, message } => {
-                self.count(&message);
+                self.count_message(&message);
                 self.sessions.send(session, message);
             }
-            GateAction::Close(session) => self.lose(session, SessionLoss::GivenUp),
-            GateAction::Aim(worker) => self.aim(worker),
+            GateAction::Close(session) => self.end_session(session, SessionEndCause::GivenUp),
+            GateAction::Aim(worker) => self.set_worker(worker),
             GateAction::Record(losses) => {
                 self.parts.metrics.count("workers_lost", 1);
                 self.parts
@@ -300,8 +303,8 @@
                     let answer = answer.await;
                     if answer.is_err() {
                         let waited_us = timer.now().mono_us.saturating_sub(now.mono_us);
-                        let broke = waited_us < micros(call.longest_wait());
-                        let _ = tx.send(Event::HoldFailed(broke));
+                        let ended_early = waited_us < micros(call.longest_wait());
+                        let _ = tx.send(Event::HoldFailed(ended_early));
                         timer.sleep(call.retry).await;
                     }
                     let _ = tx.send(Event::Held(now, call, answer));
@@ -320,8 +323,8 @@
                 }
             }
             Err(err) => {
-                warn!(log, "accept"; "error" => %err);
-                timer.sleep(ACCEPT_PAUSE).await;
+                warn!(log, "cannot accept connection"; "error" => %err);
+                timer.sleep(ACCEPT_RETRY_PAUSE).await;
             }
         }
     }
--- a/src/ephemeral/backoff.rs
+++ b/src/ephemeral/backoff.rs
@@ -1,19 +1,14 @@
-//! Pauses between attempts at something that is away.
-//!
-//! The pause grows with the absence: what comes back is found within a quarter
-//! of the time that it was away, and what stays away costs little.
+//! Pauses between retries; they grow exponentially between two bounds.
 
 use std::time::Duration;
 
-/// First pause: many round trips between failure domains (1 ms), several answers
-/// of the store (4 ms).
-const FIRST: Duration = Duration::from_millis(40);
-/// Times the last pause that the next one lasts.
-const GROWTH: f64 = 1.25;
-/// Longest pause; one part of the two seconds in which what lapsed must be back.
-const LONGEST: Duration = Duration::from_millis(400);
+/// First pause; several round trips to another failure domain or the store.
+const INITIAL_PAUSE: Duration = Duration::from_millis(40);
+const GROWTH_FACTOR: f64 = 1.25;
+/// Longest pause; bounds the delay of recovery.
+const MAX_PAUSE: Duration = Duration::from_millis(400);
 
-/// The pause after the next attempt.
+/// Exponential backoff.
 #[derive(Clone, Copy, Debug)]
 pub struct Backoff {
     pause: Duration,
@@ -21,27 +16,29 @@
 
 impl Default for Backoff {
     fn default() -> Backoff {
-        Backoff { pause: FIRST }
+        Backoff {
+            pause: INITIAL_PAUSE,
+        }
     }
 }
 
 impl From<Duration> for Backoff {
-    /// Begins with this pause, within the usual bounds.
+    /// Starts with this pause, clamped to the bounds.
     fn from(first: Duration) -> Backoff {
         Backoff {
-            pause: first.clamp(FIRST, LONGEST),
+            pause: first.clamp(INITIAL_PAUSE, MAX_PAUSE),
         }
     }
 }
 
 impl Backoff {
-    /// The pause after the next attempt.
+    /// Pause after the next attempt.
     pub fn pause(&self) -> Duration {
         self.pause
     }
 
-    /// An attempt failed.
+    /// Lengthens the pause after a failed attempt.
     pub fn grow(&mut self) {
-        self.pause = self.pause.mul_f64(GROWTH).min(LONGEST);
+        self.pause = self.pause.mul_f64(GROWTH_FACTOR).min(MAX_PAUSE);
     }
 }
--- a/src/ephemeral/directory/follow.rs
+++ b/src/ephemeral/directory/follow.rs
@@ -1,4 +1,4 @@
-//! How an entry learns of gates: a part of the records first, then all, then changes.
+//! Reads the gate records for an entry: first some shards, then all records, then changes.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -9,191 +9,192 @@
 use tokio::sync::mpsc::UnboundedSender;
 use xxhash_rust::xxh3::xxh3_64;
 
-use super::{GATE_PREFIX, GateChanges, parse, shard_prefix};
-use crate::ephemeral::follower::{Follower, Keys, News};
+use super::{GATE_PREFIX, GateChanges, decode, shard_prefix};
+use crate::ephemeral::follower::{Follower, KeyUpdate, WatchedKeys};
 use crate::store::{StoreChange, StoreEntry};
 
-/// Longest wait of a watch of records: if a store that fell silent leaves it without an
-/// answer, what is new is heard of so much later.
-const RECORDS_WATCH: Duration = Duration::from_secs(5);
-/// Records with which an entry can take work before it has read all: as many gates as it
-/// has sessions with at least.
-const ENOUGH_FIRST: usize = 16;
-/// Parts that the records are read in, by a hash of the gate's name.
+/// Longest wait of a watch for a change; bounds the delay if the store stops answering.
+const WATCH_TIMEOUT: Duration = Duration::from_secs(5);
+/// Gates with which an entry can accept work before it has read all records.
+const MIN_INITIAL_GATES: usize = 16;
+/// Number of shards of the records.
 const SHARDS: usize = 256;
-/// Most of them that an entry reads first, and how many at a time.
-const MOST_FIRST_SHARDS: usize = 16;
-const SHARDS_AT_ONCE: usize = 4;
-/// Pause for each gate before the rest is read: what entries that start together read in a
-/// second stays a part of what the store's link carries, whatever the number of gates.
-const REST_PAUSE_A_GATE: Duration = Duration::from_millis(2);
-/// Longest such pause: until then an entry sends its jobs to the first gates only.
-const MOST_REST_PAUSE: Duration = Duration::from_secs(5);
-
-/// What was read under a key.
-struct Seen {
+/// Largest number of shards that an entry reads first, and how many at a time.
+const MAX_INITIAL_SHARDS: usize = 16;
+const CONCURRENT_SHARD_READS: usize = 4;
+/// Delay of the full read per gate, which spreads the reads of entries that start together.
+const FULL_READ_DELAY_PER_GATE: Duration = Duration::from_millis(2);
+/// Longest delay of the full read; until then an entry uses only the initial gates.
+const MAX_FULL_READ_DELAY: Duration = Duration::from_secs(5);
+
+/// A record that was read.
+struct SeenRecord {
     revision: u64,
-    /// The gate, unless it is of another writer.
+    /// The gate; `None` if the record is invalid.
     gate: Option<Arc<str>>,
 }
 
-/// Reads records, each revision once: where a whole fleet starts, an entry hears of gate
-/// after gate, and to read all of them each time would cost the square of the fleet. They
-/// may be of another writer: what is no record of a gate names none, and the others hold.
-struct Reader {
-    seen: BTreeMap<String, Seen>,
+/// Decodes each revision of a record once, and skips invalid records, which other writers may
+/// have left.
+struct RecordReader {
+    seen: BTreeMap<String, SeenRecord>,
     log: Logger,
 }
 
-impl Reader {
-    fn new(log: Logger) -> Reader {
-        Reader {
+impl RecordReader {
+    fn new(log: Logger) -> RecordReader {
+        RecordReader {
             seen: BTreeMap::new(),
             log,
         }
     }
 
-    fn read(&mut self, news: News<'_>) -> GateChanges {
-        let mut found = GateChanges::default();
-        match news.changes {
-            Some(changes) => changes.iter().for_each(|change| match change {
-                StoreChange::Written(entry) => self.written(entry, &mut found),
-                StoreChange::Removed { key } => self.removed(key, &mut found),
+    fn read(&mut self, update: KeyUpdate<'_>) -> GateChanges {
+        let mut changes = GateChanges::default();
+        match update.changes {
+            Some(store_changes) => store_changes.iter().for_each(|change| match change {
+                StoreChange::Written(entry) => self.written(entry, &mut changes),
+                StoreChange::Removed { key } => self.removed(key, &mut changes),
             }),
             None => {
-                let all = news.entries.values();
-                all.for_each(|entry| self.written(entry, &mut found));
-                let gone = |key: &&String| !news.entries.contains_key(*key);
+                let all = update.entries.values();
+                all.for_each(|entry| self.written(entry, &mut changes));
+                let gone = |key: &&String| !update.entries.contains_key(*key);
                 let gone: Vec<String> = self.seen.keys().filter(gone).cloned().collect();
-                gone.iter().for_each(|key| self.removed(key, &mut found));
+                gone.iter().for_each(|key| self.removed(key, &mut changes));
             }
         }
-        found
+        changes
     }
 
-    fn written(&mut self, entry: &StoreEntry, found: &mut GateChanges) {
+    fn written(&mut self, entry: &StoreEntry, changes: &mut GateChanges) {
         let before = self.seen.get(&entry.key);
         if before.is_some_and(|before| before.revision == entry.revision) {
             return;
         }
-        let gate = match parse(entry) {
+        let gate = match decode(entry) {
             Ok(record) => {
                 let gate = record.gate.clone();
-                found.written.push(record);
+                changes.written.push(record);
                 Some(gate)
             }
-            Err(why) => {
+            Err(err) => {
                 warn!(self.log, "record of a gate not usable"; "key" => &entry.key,
-                    "revision" => entry.revision, "error" => %why);
-                self.removed(&entry.key, found);
+                    "revision" => entry.revision, "error" => %err);
+                self.removed(&entry.key, changes);
                 None
             }
         };
         let revision = entry.revision;
-        self.seen.insert(entry.key.clone(), Seen { revision, gate });
+        self.seen
+            .insert(entry.key.clone(), SeenRecord { revision, gate });
     }
 
-    fn removed(&mut self, key: &str, found: &mut GateChanges) {
+    fn removed(&mut self, key: &str, changes: &mut GateChanges) {
         let before = self.seen.remove(key);
         if let Some(gate) = before.and_then(|before| before.gate) {
-            found.removed.push(gate);
+            changes.removed.push(gate);
         }
     }
 }
 
-/// Shards that the entry `name` reads first: other ones than most entries, so that their
-/// first jobs spread over all gates.
-fn first_shards(name: &str) -> Vec<u8> {
+/// Shards that the entry `name` reads first; they differ by entry to spread the first jobs over
+/// all gates.
+fn initial_shards(name: &str) -> Vec<u8> {
     let mut shards: Vec<u8> = (0..=u8::MAX).collect();
     shards.sort_by_key(|shard| xxh3_64(format!("{name}/{shard}").as_bytes()));
-    shards.truncate(MOST_FIRST_SHARDS);
+    shards.truncate(MAX_INITIAL_SHARDS);
     shards
 }
 
-/// What an entry knows before it has read all records.
-struct First {
+/// Records read before the full read.
+struct InitialRecords {
     gates: GateChanges,
     shards: usize,
 }
 
-impl First {
-    /// Whether it is enough to take work.
+impl InitialRecords {
+    /// Whether they suffice to accept work.
     fn is_enough(&self) -> bool {
-        self.gates.written.len() >= ENOUGH_FIRST
+        self.gates.written.len() >= MIN_INITIAL_GATES
     }
 
-    /// Whether all records together are not much to read: less than one a shard.
-    fn is_of_small_fleet(&self) -> bool {
+    /// Whether the fleet is small enough to read all records at once: less than one per shard.
+    fn is_small_fleet(&self) -> bool {
         self.gates.written.len() < self.shards
     }
 
-    /// Longest pause before the rest is read: if all entries start at the same time, what
-    /// they read in a second does not grow with the number of gates.
-    fn rest_pause(&self) -> Duration {
+    /// Longest delay of the full read; grows with the fleet, so that the load of a simultaneous
+    /// start on the store stays bounded.
+    fn max_full_read_delay(&self) -> Duration {
         if !self.is_enough() {
             return Duration::ZERO;
         }
         let gates = self.gates.written.len() * SHARDS / self.shards;
-        MOST_REST_PAUSE.min(REST_PAUSE_A_GATE * gates as u32)
+        MAX_FULL_READ_DELAY.min(FULL_READ_DELAY_PER_GATE * gates as u32)
     }
 }
 
-/// Reads enough records to take work, so that an entry that starts need not wait for all
-/// of them: where a whole fleet starts anew, what all entries read is its square.
-async fn read_first(follower: &Follower, name: &str, reader: &mut Reader) -> First {
-    let mut first = First {
+/// Reads enough records to accept work before the full read.
+async fn read_initial(
+    follower: &Follower,
+    name: &str,
+    reader: &mut RecordReader,
+) -> InitialRecords {
+    let mut initial = InitialRecords {
         gates: GateChanges {
             partial: true,
             ..GateChanges::default()
         },
         shards: 0,
     };
-    for shards in first_shards(name).chunks(SHARDS_AT_ONCE) {
+    for shards in initial_shards(name).chunks(CONCURRENT_SHARD_READS) {
         let prefixes: Vec<String> = shards.iter().copied().map(shard_prefix).collect();
         let reads = prefixes
             .iter()
             .map(|prefix| follower.read(prefix, "first_gates"));
         let entries = join_all(reads).await;
         let entries = entries.iter().flatten();
-        entries.for_each(|entry| reader.written(entry, &mut first.gates));
-        first.shards += shards.len();
-        if first.is_enough() || first.is_of_small_fleet() {
+        entries.for_each(|entry| reader.written(entry, &mut initial.gates));
+        initial.shards += shards.len();
+        if initial.is_enough() || initial.is_small_fleet() {
             break;
         }
     }
-    info!(follower.log, "first gates read"; "gates" => first.gates.written.len(),
-        "shards" => first.shards);
-    first
+    info!(follower.log, "initial gate records read"; "gates" => initial.gates.written.len(),
+        "shards" => initial.shards);
+    initial
 }
 
-/// Follows the records of gates for the entry `name`: a part of them first.
+/// Follows the gate records for the entry `name`; reads some shards first.
 pub async fn follow_gates(
     follower: Follower,
     name: Arc<str>,
     changes: UnboundedSender<GateChanges>,
 ) {
-    let mut reader = Reader::new(follower.log.clone());
-    let first = read_first(&follower, &name, &mut reader).await;
-    let pause = first.rest_pause().mul_f64(rand::random());
-    if !first.gates.is_empty() && changes.send(first.gates).is_err() {
+    let mut reader = RecordReader::new(follower.log.clone());
+    let initial = read_initial(&follower, &name, &mut reader).await;
+    let delay = initial.max_full_read_delay().mul_f64(rand::random());
+    if !initial.gates.is_empty() && changes.send(initial.gates).is_err() {
         return;
     }
-    follower.timer.sleep(pause).await;
-    let mut all_told = false;
-    let tell = |news: News<'_>| {
-        let found = reader.read(news);
-        // That there are no others is news as well.
-        let nothing_new = std::mem::replace(&mut all_told, true) && found.is_empty();
-        match nothing_new {
+    follower.timer.sleep(delay).await;
+    let mut all_reported = false;
+    let on_update = |update: KeyUpdate<'_>| {
+        let found = reader.read(update);
+        // The first full update is sent even if empty: it shows that there are no other
+        // records.
+        let is_unchanged = std::mem::replace(&mut all_reported, true) && found.is_empty();
+        match is_unchanged {
             true => !changes.is_closed(),
             false => changes.send(found).is_ok(),
         }
     };
-    let keys = Keys {
+    let keys = WatchedKeys {
         prefix: GATE_PREFIX,
-        what: "gates",
+        label: "gates",
         leased: true,
-        wait: RECORDS_WATCH,
+        max_wait: WATCH_TIMEOUT,
     };
-    follower.follow_changes(&keys, tell).await;
+    follower.follow_changes(&keys, on_update).await;
 }
--- a/src/ephemeral/directory/mod.rs
+++ b/src/ephemeral/directory/mod.rs
@@ -1,9 +1,8 @@
-//! How processes find one another: records under a lease in the store.
+//! Discovery of gates: records under a lease in the store.
 //!
-//! Each gate keeps one record with its address. The store may lose it, when a
-//! lease runs out during an outage or by revocation, without telling anyone; the
-//! next renewal tells the gate, which writes it anew. Entries watch the records.
-//! A missing record never ends a session that is alive.
+//! Each gate keeps one record with its address, and entries watch the records. The store may
+//! lose a record when its lease expires or is revoked; the next renewal detects this and the
+//! gate writes it again. A missing record does not end a live session.
 
 mod follow;
 mod publish;
@@ -22,45 +21,45 @@
 use crate::store::StoreEntry;
 
 pub use follow::follow_gates;
-pub use publish::{publish, recall};
+pub use publish::{publish, read_previous};
 
-/// Prefix of the records of gates.
+/// Prefix of the keys of gate records.
 pub const GATE_PREFIX: &str = "winghold/gates/";
-/// How long a gate without a record is still dialed: after an outage of the store a
-/// record that lapsed is back within it.
-pub(super) const MISSING: Duration = Duration::from_millis(2_900);
+/// How long a gate without a record is still dialed; an expired record is rewritten within this
+/// time after an outage of the store.
+pub(super) const MISSING_RECORD_GRACE: Duration = Duration::from_millis(2_900);
 
 /// Record of a gate.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct GateRecord {
-    /// Name of the gate; its lives keep one record.
+    /// Name of the gate, the same for all its incarnations.
     pub gate: Arc<str>,
-    /// Where entries reach it.
+    /// Address for entries.
     pub addr: SocketAddr,
-    /// Its worker: a gate that starts anew need not wait for the next heartbeat.
+    /// Its worker, so that a restarted gate need not wait for the next heartbeat.
     #[serde(default)]
     pub worker: Option<WorkerRecord>,
-    /// Tasks under which its workers were lost: entries without a session hear of them,
-    /// and a gate that starts anew.
+    /// Tasks under which its workers were lost, for a restarted gate and for entries without a
+    /// session.
     #[serde(default)]
     pub losses: Vec<WorkerLoss>,
 }
 
-/// What changes of a gate's record.
+/// Variable part of a gate's record.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Published {
+pub struct PublishedState {
     /// Its worker.
     pub worker: Option<WorkerRecord>,
     /// Losses of its workers.
     pub losses: Vec<WorkerLoss>,
 }
 
-/// A worker in the record of its gate.
+/// The worker in a gate's record.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WorkerRecord {
-    /// What it is.
+    /// Properties of the worker.
     pub traits: WorkerTraits,
-    /// Where it takes orders.
+    /// Address for orders.
     pub addr: String,
 }
 
@@ -70,8 +69,8 @@
     }
 }
 
-/// Key of the record of the gate `name`: records lie under two digits of a hash, so that a
-/// part of them can be read by itself.
+/// Key of a gate's record. Records are sharded by two hex digits of a hash of the name, so that
+/// entries can read a part of them.
 pub fn gate_key(name: &str) -> String {
     let shard = xxh3_64(name.as_bytes()) as u8;
     format!("{}{name}", shard_prefix(shard))
@@ -85,44 +84,45 @@
     serde_json::to_vec(record).map_or_else(|_| Bytes::new(), Bytes::from)
 }
 
-/// Why a record under the prefix is not one of a gate.
+/// Why an entry is not a valid gate record.
 #[derive(Debug)]
-enum NoRecord {
+enum RecordError {
     Unreadable(serde_json::Error),
-    /// It is kept for another gate than it names.
-    OtherKey,
+    /// The record names a gate that belongs to another key.
+    KeyMismatch,
 }
 
-impl fmt::Display for NoRecord {
+impl fmt::Display for RecordError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            NoRecord::Unreadable(err) => err.fmt(f),
-            NoRecord::OtherKey => f.write_str("it names another gate than its key"),
+            RecordError::Unreadable(err) => err.fmt(f),
+            RecordError::KeyMismatch => f.write_str("record names another gate than its key"),
         }
     }
 }
 
-fn parse(entry: &StoreEntry) -> Result<GateRecord, NoRecord> {
-    let record: GateRecord = serde_json::from_slice(&entry.value).map_err(NoRecord::Unreadable)?;
+fn decode(entry: &StoreEntry) -> Result<GateRecord, RecordError> {
+    let record: GateRecord =
+        serde_json::from_slice(&entry.value).map_err(RecordError::Unreadable)?;
     match record.key() == entry.key {
         true => Ok(record),
-        false => Err(NoRecord::OtherKey),
+        false => Err(RecordError::KeyMismatch),
     }
 }
 
-/// What has changed of the records of gates.
+/// Changes of gate records.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct GateChanges {
-    /// Records that are new or not what they were.
+    /// New and changed records.
     pub written: Vec<GateRecord>,
-    /// Gates that have no record any more.
+    /// Gates whose record was removed.
     pub removed: Vec<Arc<str>>,
-    /// Whether there may be others that were not read yet.
+    /// Whether other records may not have been read yet.
     pub partial: bool,
 }
 
 impl From<Vec<GateRecord>> for GateChanges {
-    /// These records are new.
+    /// Treats all records as new.
     fn from(written: Vec<GateRecord>) -> GateChanges {
         GateChanges {
             written,
@@ -132,7 +132,7 @@
 }
 
 impl GateChanges {
-    /// Whether nothing has changed.
+    /// Whether there are no changes.
     pub fn is_empty(&self) -> bool {
         self.written.is_empty() && self.removed.is_empty()
     }
--- a/src/ephemeral/directory/publish.rs
+++ b/src/ephemeral/directory/publish.rs
@@ -1,4 +1,4 @@
-//! How a gate keeps its record, and takes over the one from before a restart.
+//! Publishes the record of a gate, and takes over the record after a restart.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -7,82 +7,78 @@
 use slog::{Logger, info, warn};
 use tokio::sync::watch;
 
-use super::{GateRecord, Published, encode, gate_key, parse};
-use crate::ephemeral::follower::Reachable;
+use super::{GateRecord, PublishedState, decode, encode, gate_key};
+use crate::ephemeral::follower::StoreAvailability;
 use crate::store::{Expect, LeaseId, Store, StoreEntry, StoreError, StoreReply, StoreRequest};
 use crate::time::Timer;
 
-/// Lease of a record: longer than most restarts of a store, and short enough
-/// that entries stop dialing a process that is gone for good.
+/// Lease of a record: longer than most restarts of a store, short enough that entries soon stop
+/// dialing a gate that is gone.
 const RECORD_LEASE: Duration = Duration::from_secs(10);
-/// Pause between two renewals; a record that lapsed is back within it, and two renewals may
-/// be lost.
-const RENEWAL: Duration = Duration::from_millis(2_500);
-/// Renewals after which the record is read all the same: every 15 s, as entries read
-/// all records every 20 s.
-const RENEWALS_UNREAD: u32 = 6;
-/// Pause after a record could not be kept; doubled with each further time, as all gates of
-/// a fleet call on and on in an outage.
-const PAUSE: Duration = Duration::from_millis(200);
-/// Longest such pause: a record that lapsed in an outage is back before it counts as missing.
-const LONGEST_PAUSE: Duration = Duration::from_millis(1_600);
+/// Interval of renewals; two of them may be lost within a lease.
+const RENEWAL_INTERVAL: Duration = Duration::from_millis(2_500);
+/// Renewals after which the record is read even if no call failed.
+const RENEWALS_PER_READ: u32 = 6;
+/// First pause after a failed call; doubled with each further failure.
+const RETRY_PAUSE: Duration = Duration::from_millis(200);
+/// Longest such pause; shorter than [`super::MISSING_RECORD_GRACE`].
+const MAX_RETRY_PAUSE: Duration = Duration::from_millis(1_600);
 
-/// Keeps the record of a gate in the store, as it is published, for as long as it is
-/// polled. A record from `before` a restart is taken over with its lease: nothing is written
-/// then, and no entry has to hear of it. Where a whole fleet starts anew, each entry would
-/// else hear of each gate.
+/// Publishes the record of a gate in the store until the future is dropped. A record from
+/// `previous`, before a restart, is taken over with its lease, without a write that would wake
+/// all entries.
 pub async fn publish(
     store: Arc<dyn Store>,
     timer: Timer,
     mut record: GateRecord,
-    before: Option<StoreEntry>,
-    mut published: watch::Receiver<Published>,
+    previous: Option<StoreEntry>,
+    mut published: watch::Receiver<PublishedState>,
     log: Logger,
 ) {
-    let mut reachable = Reachable::new("record", log.clone());
+    let mut availability = StoreAvailability::new("record", log.clone());
     let mut publisher = Publisher {
         store: &*store,
         log: &log,
-        lease: before.as_ref().and_then(|before| before.lease),
-        written: before.map(|before| before.value),
-        renewals: 0,
+        lease: previous.as_ref().and_then(|previous| previous.lease),
+        written: previous.map(|previous| previous.value),
+        renewals_since_read: 0,
     };
-    let mut outage_pause = PAUSE;
+    let mut retry_pause = RETRY_PAUSE;
     loop {
-        let newest = published.borrow_and_update().clone();
-        record.worker = newest.worker;
-        record.losses = newest.losses;
-        let kept = publisher.keep(&record).await;
-        reachable.note(&kept);
-        let pause = match kept {
-            Ok(()) => RENEWAL,
-            Err(_) => outage_pause,
+        let latest = published.borrow_and_update().clone();
+        record.worker = latest.worker;
+        record.losses = latest.losses;
+        let refreshed = publisher.refresh(&record).await;
+        availability.record(&refreshed);
+        let pause = match refreshed {
+            Ok(()) => RENEWAL_INTERVAL,
+            Err(_) => retry_pause,
         };
-        outage_pause = match kept {
-            Ok(()) => PAUSE,
-            Err(_) => LONGEST_PAUSE.min(outage_pause * 2),
+        retry_pause = match refreshed {
+            Ok(()) => RETRY_PAUSE,
+            Err(_) => MAX_RETRY_PAUSE.min(retry_pause * 2),
         };
-        // A change does not wait for the next renewal.
+        // A change is written without waiting for the next renewal.
         let _ = timer.within(pause, published.changed()).await;
     }
 }
 
-/// What the record of the gate `name` holds, from before a restart, and the record itself.
-pub async fn recall(
+/// State in the gate's record from before a restart, and the record itself.
+pub async fn read_previous(
     store: &dyn Store,
     name: &str,
     log: &Logger,
-) -> Option<(Published, StoreEntry)> {
+) -> Option<(PublishedState, StoreEntry)> {
     let key = gate_key(name);
     let entry = read(store, &key).await.inspect_err(|err| {
-        warn!(log, "record not recalled"; "key" => &key, "error" => %err);
+        warn!(log, "cannot read previous gate record"; "key" => &key, "error" => %err);
     });
     let entry = entry.ok()??;
-    let record = parse(&entry).inspect_err(|why| {
-        warn!(log, "record not recalled"; "key" => &key, "error" => %why);
+    let record = decode(&entry).inspect_err(|err| {
+        warn!(log, "cannot read previous gate record"; "key" => &key, "error" => %err);
     });
     let record = record.ok()?;
-    let published = Published {
+    let published = PublishedState {
         worker: record.worker,
         losses: record.losses,
     };
@@ -94,32 +90,31 @@
     store: &'a dyn Store,
     log: &'a Logger,
     lease: Option<LeaseId>,
-    /// What the store holds under the lease for certain, unless it was taken away.
+    /// Value known to be in the store under the lease; `None` if uncertain.
     written: Option<Bytes>,
-    /// Renewals since the record was last read.
-    renewals: u32,
+    renewals_since_read: u32,
 }
 
 impl Publisher<'_> {
-    /// Renews the lease and writes the record if it is not there. While each call is
-    /// answered, the renewal tells enough: a lease takes its record with it. After a
-    /// call without an answer the record is read first.
-    async fn keep(&mut self, record: &GateRecord) -> Result<(), StoreError> {
-        let kept = self.renew_or_write(record).await;
-        if kept.is_err() {
+    /// Renews the lease, and writes the record if it is missing or differs. An unchanged record is
+    /// read only after a failed call, a new lease or [`RENEWALS_PER_READ`] renewals, as it exists
+    /// while its lease does.
+    async fn refresh(&mut self, record: &GateRecord) -> Result<(), StoreError> {
+        let refreshed = self.renew_or_write(record).await;
+        if refreshed.is_err() {
             self.written = None;
         }
-        kept
+        refreshed
     }
 
     async fn renew_or_write(&mut self, record: &GateRecord) -> Result<(), StoreError> {
         let wanted = encode(record);
-        let lease = self.hold_lease().await?;
-        self.renewals += 1;
-        if self.written.as_ref() == Some(&wanted) && self.renewals < RENEWALS_UNREAD {
+        let lease = self.renew_or_grant_lease().await?;
+        self.renewals_since_read += 1;
+        if self.written.as_ref() == Some(&wanted) && self.renewals_since_read < RENEWALS_PER_READ {
             return Ok(());
         }
-        self.renewals = 0;
+        self.renewals_since_read = 0;
         let current = read(self.store, &record.key()).await?;
         if current.as_ref().is_none_or(|entry| entry.value != wanted) {
             self.put(record.key(), &wanted, current, lease).await?;
@@ -128,13 +123,13 @@
         Ok(())
     }
 
-    /// The lease, renewed, or a new one.
-    async fn hold_lease(&mut self) -> Result<LeaseId, StoreError> {
+    /// Renews the lease, or grants a new one if it has expired.
+    async fn renew_or_grant_lease(&mut self) -> Result<LeaseId, StoreError> {
         if let Some(lease) = self.lease {
             if self.store.call(StoreRequest::Renew { lease }).await? != StoreReply::LeaseGone {
                 return Ok(lease);
             }
-            info!(self.log, "lease of the record ran out"; "lease" => lease.0);
+            info!(self.log, "lease of gate record expired"; "lease" => lease.0);
             self.lease = None;
             self.written = None;
         }
@@ -158,7 +153,7 @@
         };
         match self.store.call(put).await? {
             StoreReply::Written { revision } => {
-                info!(self.log, "record written"; "key" => key, "revision" => revision);
+                info!(self.log, "gate record written"; "key" => key, "revision" => revision);
                 Ok(())
             }
             StoreReply::LeaseGone => {
--- a/src/ephemeral/dispatcher/config.rs
+++ b/src/ephemeral/dispatcher/config.rs
@@ -15,7 +15,7 @@
 use slog::info;
 
 use super::{DispatchAction, Dispatcher};
-use crate::ephemeral::message::{ConfigDocument, ConfigPart, PartWanted, ToGate};
+use crate::ephemeral::message::{ConfigDocument, ConfigPart, ConfigPartRequest, ToGate};
 use crate::ephemeral::session::SessionId;
 use crate::time::{Moment, micros};
 
@@ -87,7 +87,7 @@
     }
 
     /// What to ask for next.
-    fn wanted(&mut self, now: Moment) -> PartWanted {
+    fn wanted(&mut self, now: Moment) -> ConfigPartRequest {
         let version = self.version;
         let fetch = self.fetch.get_or_insert(Fetch {
             version,
@@ -95,7 +95,7 @@
             asked_us: 0,
         });
         fetch.asked_us = now.mono_us;
-        PartWanted {
+        ConfigPartRequest {
             version: fetch.version,
             offset: fetch.text.len() as u64,
         }
@@ -143,7 +143,7 @@
 
     /// Asks for what the store did not give in time.
     pub(super) fn fetch_config(&mut self, now: Moment) {
-        let silence = self.limits.silence;
+        let silence = self.limits.peer_timeout;
         let Some(behind) = &mut self.configs.behind else {
             return;
         };
@@ -201,7 +201,7 @@
         &mut self,
         session: SessionId,
         asker: SessionId,
-        wanted: PartWanted,
+        wanted: ConfigPartRequest,
     ) {
         let document = self.configs.current.as_ref();
         let Some(part) = document.and_then(|document| document.part(wanted)) else {
--- a/src/ephemeral/dispatcher/fair_shares.rs
+++ b/src/ephemeral/dispatcher/fair_shares.rs
@@ -93,7 +93,7 @@
         let typical_us = self.typical_run.us();
         let level = self
             .congestion
-            .level_before(now, Priority::SPARE_ROOM, typical_us);
+            .level_before(now, Priority::BEST_EFFORT, typical_us);
         let congested = level > SHORT_OF_ROOM;
         let name = job.route.name.clone();
         let demand = self.fair_shares.routes.entry(name).or_default();
--- a/src/ephemeral/dispatcher/gates.rs
+++ b/src/ephemeral/dispatcher/gates.rs
@@ -303,8 +303,8 @@
             let gate = self.gates.get(&link.gate);
             let busy = gate.is_some_and(|gate| gate.is_busy(now, self.limits.linger));
             let pause = match busy {
-                true => self.limits.beat,
-                false => self.limits.idle_beat,
+                true => self.limits.heartbeat_interval,
+                false => self.limits.idle_heartbeat_interval,
             };
             if now.mono_us < link.sent_us + micros(pause) {
                 continue;
--- a/src/ephemeral/dispatcher/job.rs
+++ b/src/ephemeral/dispatcher/job.rs
@@ -153,7 +153,7 @@
     /// Who is served first, among its tasks and those of others.
     pub fn priority(&self, scheduling: &Scheduling, now_us: u64) -> Priority {
         match self.is_deferred() && (self.surplus || self.misses_objective(now_us)) {
-            true => Priority::SPARE_ROOM,
+            true => Priority::BEST_EFFORT,
             false => self.route.priority(scheduling),
         }
     }
--- a/src/ephemeral/dispatcher/losses.rs
+++ b/src/ephemeral/dispatcher/losses.rs
@@ -13,7 +13,7 @@
 use super::{DispatchAction, Dispatcher, failed};
 use crate::code::{Effect, ResultCode};
 use crate::ephemeral::job::JobId;
-use crate::ephemeral::losses::{LeftBehind, WorkerLoss};
+use crate::ephemeral::losses::{OrphanedTasks, WorkerLoss};
 use crate::ephemeral::message::ToGate;
 use crate::ephemeral::worker_id::WorkerId;
 use crate::message::Answer;
@@ -24,7 +24,7 @@
     /// here that have such a task, also if it is on its way to the next worker.
     pub(super) fn learn_losses(&mut self, now: Moment, losses: &[WorkerLoss]) {
         for loss in losses {
-            if !self.losses.note(now, loss) {
+            if !self.losses.record(now, loss) {
                 continue;
             }
             if !self.jobs.contains_key(&loss.job) {
@@ -52,7 +52,7 @@
             likely: false,
             ran: false,
         });
-        let left = LeftBehind {
+        let left = OrphanedTasks {
             at_us: now.mono_us,
             losses: losses.collect(),
         };
@@ -83,7 +83,7 @@
 
     /// Forgets gates that did not come back.
     pub(super) fn forget_left_behind(&mut self, now: Moment) {
-        self.left_behind.retain(|_, left| !left.is_old(now));
+        self.left_behind.retain(|_, left| !left.is_expired(now));
     }
 
     /// Gates with tasks of this entry under which a worker was lost, if that is so of the
@@ -106,10 +106,10 @@
     /// The answer for a job that is to be given up, if it is. Whoever had it before, its
     /// task may have begun.
     pub(super) fn answer_for_losses(&self, job: JobId) -> Option<Answer> {
-        let given_up = self.losses.given_up(job)?;
+        let given_up = self.losses.abandoned_task(job)?;
         let index = given_up.index;
         let losses = self.losses.count(job, index);
-        Some(match given_up.known {
+        Some(match given_up.crash_confirmed {
             true => {
                 let why = format!("{losses} workers were lost under its task {index}");
                 failed(ResultCode::TaskFailed, &why)
--- a/src/ephemeral/dispatcher/mod.rs
+++ b/src/ephemeral/dispatcher/mod.rs
@@ -31,7 +31,7 @@
 use crate::code::{Effect, ResultCode};
 use crate::ephemeral::job::{JobId, RunId};
 use crate::ephemeral::limits::Limits;
-use crate::ephemeral::losses::{LeftBehind, LossLog};
+use crate::ephemeral::losses::{LossLog, OrphanedTasks};
 use crate::ephemeral::message::{ConfigDocument, ProcessId, StartOrder, ToGate};
 use crate::ephemeral::placement::{Choice, GateView, OnTime, Placer, Want};
 use crate::ephemeral::run_spread::RunSpreads;
@@ -136,7 +136,7 @@
     past_order: VecDeque<(u64, JobId)>,
     losses: LossLog,
     /// By the names of gates that are gone.
-    left_behind: HashMap<Arc<str>, LeftBehind>,
+    left_behind: HashMap<Arc<str>, OrphanedTasks>,
     probes: HashMap<Arc<str>, u64>,
     congestion: CongestionByPriority,
     deferral: Deferral,
@@ -322,7 +322,7 @@
 
     fn choose(&mut self, now: Moment, job: &Job, index: u32) -> Option<Choice> {
         let task = job.tasks.get(index as usize)?;
-        let most = job.spec.constraints.most_on_worker as usize;
+        let most = job.spec.constraints.max_per_worker as usize;
         let crowded = |name: &Arc<str>| {
             most > 0 && job.out().filter(|(gate, _)| *gate == name).count() >= most
         };
@@ -384,7 +384,7 @@
         self.doubt_quiet_gates(now);
         self.fetch_config(now);
         self.forget_past(now);
-        self.losses.forget_old(now);
+        self.losses.evict_expired(now);
         self.forget_left_behind(now);
         self.dirty |= !self.backlog.is_empty() || !self.deferral.is_empty();
     }
--- a/src/ephemeral/dispatcher/progress.rs
+++ b/src/ephemeral/dispatcher/progress.rs
@@ -79,7 +79,7 @@
                 self.finish(now, run.job, answer);
                 return;
             }
-            RunEnd::NotRun(reason) if !reason.reached_worker() => task.runs -= 1,
+            RunEnd::NotRun(reason) if !reason.may_have_reached_worker() => task.runs -= 1,
             RunEnd::NotRun(_) | RunEnd::Stopped | RunEnd::Stalled => {}
         }
         task.moves += u32::from(end == RunEnd::Stalled);
--- a/src/ephemeral/entry/dials.rs
+++ b/src/ephemeral/entry/dials.rs
@@ -1,9 +1,7 @@
-//! Which gates are dialed, and when.
+//! Connection attempts to gates.
 //!
-//! A gate that is away is dialed again and again. A machine without power says
-//! nothing, and the first packet of an attempt is sent again only after a second,
-//! so an attempt that gets no answer is given up early and begun anew, as
-//! [`Backoff`] says.
+//! Unreachable gates are retried with [`Backoff`]. An attempt without an answer is abandoned
+//! early and repeated, as TCP resends the first packet only after a second.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -11,59 +9,59 @@
 use std::time::Duration;
 
 use crate::ephemeral::backoff::Backoff;
-use crate::ephemeral::directory::{GateChanges, MISSING};
+use crate::ephemeral::directory::{GateChanges, MISSING_RECORD_GRACE};
 use crate::ephemeral::session::SessionId;
 use crate::time::{Moment, micros};
 
 /// An attempt to connect.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Attempt {
+pub struct DialAttempt {
     /// Name of the gate.
     pub gate: Arc<str>,
-    /// Where it listens.
+    /// Address on which it listens.
     pub addr: SocketAddr,
-    /// When to give the attempt up.
-    pub limit: Duration,
+    /// When to abandon the attempt.
+    pub timeout: Duration,
 }
 
 #[derive(Debug)]
-struct Dial {
+struct DialState {
     addr: SocketAddr,
     session: Option<SessionId>,
-    /// Whether the session's connection may be dead, so that another is wanted.
-    doubted: bool,
+    /// Whether the connection may have failed, so that a second one is wanted.
+    suspect: bool,
     pending: bool,
-    /// Its pause is also the length of the next attempt.
+    /// Its pause is also the timeout of the next attempt.
     backoff: Backoff,
     /// Earliest time of the next attempt, in monotonic microseconds.
     next_us: u64,
-    /// Since when it has no record, if so.
-    missing_us: Option<u64>,
+    /// When the gate's record disappeared, if it did.
+    missing_since_us: Option<u64>,
 }
 
-impl Dial {
-    fn new(addr: SocketAddr) -> Dial {
-        Dial {
+impl DialState {
+    fn new(addr: SocketAddr) -> DialState {
+        DialState {
             addr,
             session: None,
-            doubted: false,
+            suspect: false,
             pending: false,
             backoff: Backoff::default(),
             next_us: 0,
-            missing_us: None,
+            missing_since_us: None,
         }
     }
 
     fn is_gone(&self, now: Moment) -> bool {
-        let missing = self
-            .missing_us
-            .is_some_and(|at_us| now.mono_us > at_us + micros(MISSING));
-        missing && self.session.is_none() && !self.pending
+        let is_missing = self
+            .missing_since_us
+            .is_some_and(|at_us| now.mono_us > at_us + micros(MISSING_RECORD_GRACE));
+        is_missing && self.session.is_none() && !self.pending
     }
 
     fn begin_attempt(&mut self, now: Moment) -> Option<Duration> {
-        let served = self.session.is_some() && !self.doubted;
-        if served || self.pending || now.mono_us < self.next_us {
+        let is_connected = self.session.is_some() && !self.suspect;
+        if is_connected || self.pending || now.mono_us < self.next_us {
             return None;
         }
         self.pending = true;
@@ -72,26 +70,26 @@
     }
 }
 
-/// The gates that an entry may have sessions with.
+/// Connection state of the gates that an entry may have sessions with.
 #[derive(Debug, Default)]
-pub struct Dials {
-    gates: HashMap<Arc<str>, Dial>,
+pub struct Dialer {
+    gates: HashMap<Arc<str>, DialState>,
 }
 
-impl Dials {
-    /// Records of gates have changed.
-    pub fn know(&mut self, now: Moment, changes: GateChanges) {
+impl Dialer {
+    /// Applies changes of gate records.
+    pub fn update_records(&mut self, now: Moment, changes: GateChanges) {
         for gate in &changes.removed {
             if let Some(dial) = self.gates.get_mut(gate) {
-                dial.missing_us.get_or_insert(now.mono_us);
+                dial.missing_since_us.get_or_insert(now.mono_us);
             }
         }
         for record in changes.written {
             let dial = self.gates.entry(record.gate);
-            let dial = dial.or_insert_with(|| Dial::new(record.addr));
-            dial.missing_us = None;
+            let dial = dial.or_insert_with(|| DialState::new(record.addr));
+            dial.missing_since_us = None;
             if dial.addr != record.addr {
-                // Where it listens now it has not been away.
+                // The backoff counts for the old address only.
                 dial.addr = record.addr;
                 dial.backoff = Backoff::default();
                 dial.next_us = now.mono_us;
@@ -99,56 +97,58 @@
         }
     }
 
-    /// Attempts that are to begin now at gates that a session is wanted with; forgets
-    /// gates that are gone.
-    pub fn attempts(&mut self, now: Moment, wants: impl Fn(&str) -> bool) -> Vec<Attempt> {
+    /// Starts the attempts that are due at wanted gates; removes gates that are gone.
+    pub fn due_attempts(
+        &mut self,
+        now: Moment,
+        is_wanted: impl Fn(&str) -> bool,
+    ) -> Vec<DialAttempt> {
         self.gates.retain(|_, dial| !dial.is_gone(now));
-        let wanted = self.gates.iter_mut().filter(|(name, _)| wants(name));
+        let wanted = self.gates.iter_mut().filter(|(name, _)| is_wanted(name));
         let due = wanted.filter_map(|(name, dial)| {
-            let limit = dial.begin_attempt(now)?;
-            Some(Attempt {
+            let timeout = dial.begin_attempt(now)?;
+            Some(DialAttempt {
                 gate: name.clone(),
                 addr: dial.addr,
-                limit,
+                timeout,
             })
         });
         due.collect()
     }
 
-    /// An attempt failed.
-    pub fn failed(&mut self, gate: &str) {
+    /// Records a failed attempt.
+    pub fn attempt_failed(&mut self, gate: &str) {
         if let Some(dial) = self.gates.get_mut(gate) {
             dial.pending = false;
             dial.backoff.grow();
         }
     }
 
-    /// An attempt succeeded; `open` opens the session, unless the gate was
-    /// forgotten meanwhile.
+    /// Records a successful attempt; calls `open` to open the session, unless the gate was
+    /// removed meanwhile.
     pub fn connected(&mut self, gate: &str, open: impl FnOnce() -> SessionId) -> Option<SessionId> {
         let dial = self.gates.get_mut(gate)?;
         dial.pending = false;
-        dial.doubted = false;
+        dial.suspect = false;
         dial.backoff = Backoff::default();
         let session = open();
         dial.session = Some(session);
         Some(session)
     }
 
-    /// The connection of a gate's session may be dead: another one is wanted
-    /// beside it.
-    pub fn doubt(&mut self, gate: &str) {
+    /// Requests a second connection to a gate, as the present one may have failed.
+    pub fn suspect_connection(&mut self, gate: &str) {
         if let Some(dial) = self.gates.get_mut(gate) {
-            dial.doubted = true;
+            dial.suspect = true;
         }
     }
 
-    /// A session ended.
-    pub fn lost(&mut self, session: SessionId) {
+    /// Records the end of a session.
+    pub fn session_closed(&mut self, session: SessionId) {
         let dials = self.gates.values_mut();
         for dial in dials.filter(|dial| dial.session == Some(session)) {
             dial.session = None;
-            dial.doubted = false;
+            dial.suspect = false;
         }
     }
 }
--- a/src/ephemeral/entry/handle.rs
+++ b/src/ephemeral/entry/handle.rs
@@ -1,4 +1,4 @@
-//! The handle of an entry for its HTTP side.
+//! Handle of an entry for its HTTP server.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, PoisonError};
@@ -17,13 +17,12 @@
 use crate::metrics::Metrics;
 use crate::time::{Timer, micros};
 
-/// Longest wait of a caller for the first configuration: it is there 15 ms after
-/// the start, and a refusal counts as late after a quarter of the job's
-/// objective, which is not known before; most are above 150 ms.
-const FIRST_TABLE: Duration = Duration::from_millis(35);
+/// Longest wait of a caller for the first configuration; short, so that a refusal still arrives
+/// well within the job's objective.
+const FIRST_CONFIG_TIMEOUT: Duration = Duration::from_millis(35);
 
-/// A job on its way to the dispatcher.
-pub(super) struct Submit {
+/// A submitted job on its way to the dispatcher.
+pub(super) struct Submission {
     pub waiter: WaiterId,
     pub spec: JobSpec,
     pub route: Arc<Route>,
@@ -31,30 +30,30 @@
     pub reply: oneshot::Sender<Answer>,
 }
 
-/// What the HTTP side sees of the entry.
+/// State of the entry that the HTTP server reads.
 #[derive(Debug, Default)]
-pub(super) struct View {
+pub(super) struct EntryStatus {
     pub gates: usize,
     pub jobs: usize,
     pub leaving: bool,
 }
 
-/// Handle on an entry for its HTTP side.
+/// Handle of an entry for its HTTP server.
 #[derive(Clone)]
 pub struct EntryHandle {
     pub(super) events: UnboundedSender<Event>,
-    pub(super) view: Arc<Mutex<View>>,
+    pub(super) status: Arc<Mutex<EntryStatus>>,
     pub(super) table: watch::Receiver<Arc<RouteTable>>,
     pub(super) waiters: Arc<AtomicU64>,
-    /// Timer service.
+    /// Clock and timers.
     pub timer: Timer,
-    /// Where counts go.
+    /// Sink for metrics.
     pub metrics: Metrics,
-    /// Where events are logged.
+    /// Logger.
     pub log: Logger,
 }
 
-/// Tells the entry when a caller is gone before its answer.
+/// Notifies the entry if the caller disconnects before its answer.
 struct WaiterGuard {
     events: UnboundedSender<Event>,
     waiter: WaiterId,
@@ -71,8 +70,8 @@
 }
 
 impl EntryHandle {
-    fn with_view<T>(&self, read: impl FnOnce(&View) -> T) -> T {
-        read(&self.view.lock().unwrap_or_else(PoisonError::into_inner))
+    fn with_status<T>(&self, read: impl FnOnce(&EntryStatus) -> T) -> T {
+        read(&self.status.lock().unwrap_or_else(PoisonError::into_inner))
     }
 
     /// The configuration in force.
@@ -80,35 +79,34 @@
         self.table.borrow().clone()
     }
 
-    /// The configuration in force; a caller that comes before the first one
-    /// waits for it, for at most [`FIRST_TABLE`].
-    pub async fn table_soon(&self) -> Arc<RouteTable> {
+    /// The configuration in force; waits at most [`FIRST_CONFIG_TIMEOUT`] for the first one.
+    pub async fn wait_for_table(&self) -> Arc<RouteTable> {
         let mut table = self.table.clone();
         let known = table.wait_for(|table| table.version > 0);
-        match self.timer.within(FIRST_TABLE, known).await {
+        match self.timer.within(FIRST_CONFIG_TIMEOUT, known).await {
             Some(Ok(table)) => table.clone(),
-            // Too late, or the entry is gone.
+            // Timed out, or the entry has ended.
             _ => self.table(),
         }
     }
 
-    /// Whether callers should be sent here.
-    pub fn ready(&self) -> bool {
+    /// Whether callers should be routed to this entry.
+    pub fn is_ready(&self) -> bool {
         let configured = self.table.borrow().version > 0;
-        configured && self.with_view(|view| view.gates > 0 && !view.leaving)
+        configured && self.with_status(|status| status.gates > 0 && !status.leaving)
     }
 
     /// Number of open jobs.
     pub fn open_jobs(&self) -> usize {
-        self.with_view(|view| view.jobs)
+        self.with_status(|status| status.jobs)
     }
 
-    /// Takes no place among those that are sent callers any more.
+    /// Reports the entry as not ready from now on.
     pub fn leave(&self) {
         let _ = self.events.send(Event::Leave);
     }
 
-    /// Runs a job; the caller is taken as gone if the future is dropped.
+    /// Runs a job; dropping the future counts as a disconnected caller.
     pub async fn submit(&self, spec: JobSpec, route: Arc<Route>, wait: Duration) -> Answer {
         let number = self.waiters.fetch_add(1, Ordering::Relaxed);
         let (reply, answer) = oneshot::channel();
@@ -118,14 +116,14 @@
             job: spec.id,
             answered: false,
         };
-        let submit = Submit {
+        let submission = Submission {
             waiter: WaiterId(number),
             spec,
             route,
             wait_us: micros(wait),
             reply,
         };
-        let _ = self.events.send(Event::Submit(Box::new(submit)));
+        let _ = self.events.send(Event::Submit(Box::new(submission)));
         let answer = answer.await;
         guard.answered = true;
         answer.unwrap_or_else(|_| Answer::not_run(ResultCode::Stopping, "the entry stopped"))
--- a/src/ephemeral/entry/mod.rs
+++ b/src/ephemeral/entry/mod.rs
@@ -1,4 +1,4 @@
-//! The loop of an entry: feeds the dispatcher and carries out what it asks for.
+//! Event loop of an entry: passes events to the dispatcher and executes its actions.
 
 pub mod dials;
 mod handle;
@@ -14,52 +14,52 @@
 
 use crate::ephemeral::directory::{self, GateChanges};
 use crate::ephemeral::dispatcher::{DispatchAction, Dispatcher, WaiterId};
-use crate::ephemeral::follower::{Follower, Keys, WATCH};
+use crate::ephemeral::follower::{Follower, WATCH_TIMEOUT, WatchedKeys};
 use crate::ephemeral::job::JobId;
 use crate::ephemeral::limits::Limits;
 use crate::ephemeral::message::{ConfigDocument, ProcessId, ToEntry, ToGate};
 use crate::ephemeral::routes::RouteTable;
-use crate::ephemeral::session::{SessionEvent, SessionId, SessionLoss, Sessions, dial};
+use crate::ephemeral::session::{SessionEndCause, SessionEvent, SessionId, Sessions, connect};
 use crate::ephemeral::suspension::Suspension;
 use crate::error::{Error, Result};
 use crate::message::Answer;
 use crate::metrics::Metrics;
 use crate::store::{Store, StoreEntry};
 use crate::time::{Moment, Timer, micros};
-use dials::Dials;
+use dials::Dialer;
 pub use handle::EntryHandle;
-use handle::{Submit, View};
+use handle::{EntryStatus, Submission};
 
-/// How often the dispatcher is told that time has passed.
-const TICK: Duration = Duration::from_millis(10);
-/// Reads a configuration document.
+/// Interval of the dispatcher's ticks.
+const TICK_INTERVAL: Duration = Duration::from_millis(10);
+/// Parses configuration documents.
 pub trait ConfigReader: Send + Sync {
-    /// The routes of a document.
+    /// Parses a document into its routes.
     fn read(&self, text: &[u8]) -> Result<RouteTable>;
 }
 
-/// What an entry is made of.
+/// Settings and dependencies of an entry.
 pub struct EntryParts {
-    /// The process.
-    pub me: ProcessId,
-    /// Spans of sessions.
+    /// Identity of the process.
+    pub process: ProcessId,
+    /// Timeouts of sessions.
     pub limits: Limits,
     /// The store.
     pub store: Arc<dyn Store>,
     /// Key of the configuration in the store.
     pub config_key: String,
-    /// Reads configuration documents.
+    /// Parser of configuration documents.
     pub reader: Arc<dyn ConfigReader>,
-    /// Timer service.
+    /// Clock and timers.
     pub timer: Timer,
-    /// Where counts go.
+    /// Sink for metrics.
     pub metrics: Metrics,
-    /// Where events are logged.
+    /// Logger.
     pub log: Logger,
 }
 
 enum Event {
-    Submit(Box<Submit>),
+    Submit(Box<Submission>),
     WaiterGone(WaiterId, JobId),
     Session(SessionEvent<ToEntry>),
     Dialed(Arc<str>, Option<TcpStream>),
@@ -68,35 +68,35 @@
     Leave,
 }
 
-/// An entry.
+/// Accepts jobs and dispatches their tasks to gates.
 pub struct Entry {
     parts: EntryParts,
     dispatcher: Dispatcher,
     sessions: Sessions<ToGate, ToEntry>,
-    dials: Dials,
+    dialer: Dialer,
     replies: HashMap<WaiterId, oneshot::Sender<Answer>>,
-    view: Arc<Mutex<View>>,
+    status: Arc<Mutex<EntryStatus>>,
     table: watch::Sender<Arc<RouteTable>>,
     tx: UnboundedSender<Event>,
     rx: UnboundedReceiver<Event>,
     suspension: Suspension,
-    shown_us: u64,
-    turned_us: u64,
-    /// How much later than asked for the loop turned, at most since figures were shown.
-    latest_turn: Duration,
+    metrics_reported_us: u64,
+    last_turn_us: u64,
+    /// Largest delay of a loop turn since the last report.
+    max_turn_delay: Duration,
 }
 
 impl Entry {
-    /// An entry, and the handle for its HTTP side.
+    /// Creates an entry and the handle for its HTTP server.
     pub fn new(parts: EntryParts) -> (Entry, EntryHandle) {
         let (tx, rx) = unbounded_channel();
-        let forward = tx.clone();
-        let tell = move |event| forward.send(Event::Session(event)).is_ok();
-        let view = Arc::new(Mutex::new(View::default()));
+        let events = tx.clone();
+        let on_event = move |event| events.send(Event::Session(event)).is_ok();
+        let status = Arc::new(Mutex::new(EntryStatus::default()));
         let (table, table_rx) = watch::channel(Arc::default());
         let handle = EntryHandle {
             events: tx.clone(),
-            view: view.clone(),
+            status: status.clone(),
             table: table_rx,
             waiters: Arc::default(),
             timer: parts.timer.clone(),
@@ -104,18 +104,18 @@
             log: parts.log.clone(),
         };
         let entry = Entry {
-            dispatcher: Dispatcher::new(parts.me.clone(), parts.limits, parts.log.clone()),
-            sessions: Sessions::new(parts.timer.clone(), tell),
-            dials: Dials::default(),
+            dispatcher: Dispatcher::new(parts.process.clone(), parts.limits, parts.log.clone()),
+            sessions: Sessions::new(parts.timer.clone(), on_event),
+            dialer: Dialer::default(),
             replies: HashMap::new(),
-            view,
+            status,
             table,
             tx,
             rx,
             suspension: Suspension::new(parts.timer.now()),
-            shown_us: 0,
-            turned_us: parts.timer.now().mono_us,
-            latest_turn: Duration::ZERO,
+            metrics_reported_us: 0,
+            last_turn_us: parts.timer.now().mono_us,
+            max_turn_delay: Duration::ZERO,
             parts,
         };
         (entry, handle)
@@ -124,15 +124,15 @@
     /// Runs until the process ends.
     pub async fn run(mut self) {
         self.follow_store();
-        let mut ticks = self.parts.timer.every(TICK);
+        let mut ticks = self.parts.timer.every(TICK_INTERVAL);
         loop {
             let event = tokio::select! {
                 event = self.rx.recv() => event,
                 tick = ticks.recv() => tick.and(None),
             };
             let now = self.parts.timer.now();
-            self.notice_suspension(now);
-            self.note_turn(now);
+            self.check_suspension(now);
+            self.record_turn_delay(now);
             self.dispatcher.tick(now);
             if let Some(event) = event {
                 self.handle(now, event);
@@ -140,9 +140,9 @@
             while let Ok(event) = self.rx.try_recv() {
                 self.handle(now, event);
             }
-            self.show_figures(now);
-            self.dial_missing(now);
-            self.act(now);
+            self.report_metrics(now);
+            self.dial_gates(now);
+            self.execute_actions(now);
         }
     }
 
@@ -155,49 +155,49 @@
             log: parts.log.clone(),
         };
         let (changes_tx, mut changes) = unbounded_channel();
-        let name = parts.me.name.clone();
+        let name = parts.process.name.clone();
         tokio::spawn(directory::follow_gates(follower.clone(), name, changes_tx));
         let tx = self.tx.clone();
         tokio::spawn(async move {
-            while let Some(found) = changes.recv().await {
-                let _ = tx.send(Event::Gates(found));
+            while let Some(changes) = changes.recv().await {
+                let _ = tx.send(Event::Gates(changes));
             }
         });
         let (key, log) = (parts.config_key.clone(), parts.log.clone());
         let (reader, tx) = (parts.reader.clone(), self.tx.clone());
         tokio::spawn(async move {
-            let tell = |entries: Vec<StoreEntry>| {
+            let on_entries = |entries: Vec<StoreEntry>| {
                 let found = entries.into_iter().find(|entry| entry.key == key);
-                let document = found.and_then(|entry| document(&*reader, entry.value, &log));
+                let document = found.and_then(|entry| read_document(&*reader, entry.value, &log));
                 document.is_none_or(|document| tx.send(Event::Config(document)).is_ok())
             };
-            let keys = Keys {
+            let keys = WatchedKeys {
                 prefix: &key,
-                what: "configuration",
+                label: "configuration",
                 leased: false,
-                wait: WATCH,
+                max_wait: WATCH_TIMEOUT,
             };
-            follower.follow(&keys, tell).await;
+            follower.follow(&keys, on_entries).await;
         });
     }
 
-    fn notice_suspension(&mut self, now: Moment) {
+    fn check_suspension(&mut self, now: Moment) {
         if let Some(gap) = self.suspension.turn(now) {
-            warn!(self.parts.log, "process stood still"; "gap_ms" => gap.as_millis() as u64);
+            warn!(self.parts.log, "process was suspended"; "gap_ms" => gap.as_millis() as u64);
         }
     }
 
-    fn note_turn(&mut self, now: Moment) {
-        let gap = Duration::from_micros(now.mono_us.saturating_sub(self.turned_us));
-        self.turned_us = now.mono_us;
-        let late = gap.saturating_sub(TICK);
-        self.latest_turn = self.latest_turn.max(late);
-        self.dispatcher.turned_late(now, late);
+    fn record_turn_delay(&mut self, now: Moment) {
+        let gap = Duration::from_micros(now.mono_us.saturating_sub(self.last_turn_us));
+        self.last_turn_us = now.mono_us;
+        let delay = gap.saturating_sub(TICK_INTERVAL);
+        self.max_turn_delay = self.max_turn_delay.max(delay);
+        self.dispatcher.turned_late(now, delay);
     }
 
     fn handle(&mut self, now: Moment, event: Event) {
         match event {
-            Event::Submit(submit) => self.submit(now, *submit),
+            Event::Submit(submission) => self.submit(now, *submission),
             Event::WaiterGone(waiter, job) => {
                 self.replies.remove(&waiter);
                 self.dispatcher.waiter_gone(now, waiter, job);
@@ -205,10 +205,10 @@
             Event::Session(SessionEvent::Frame { session, frame }) => {
                 let age_us = self.sessions.age_us(now, session, frame.sent_us);
                 self.dispatcher.frame_waited(now, age_us);
-                if age_us > micros(self.parts.limits.frame_age) {
-                    warn!(self.parts.log, "frame came late"; "session" => session.0,
-                        "age_us" => age_us);
-                    self.lose(session, SessionLoss::LateFrame);
+                if age_us > micros(self.parts.limits.max_frame_age) {
+                    warn!(self.parts.log, "frame exceeded the maximum age; closing session";
+                        "session" => session.0, "age_us" => age_us);
+                    self.end_session(session, SessionEndCause::LateFrame);
                     return;
                 }
                 self.dispatcher.heard(now, session);
@@ -217,70 +217,71 @@
                 }
             }
             Event::Session(SessionEvent::Closed(session)) => {
-                self.lose(session, SessionLoss::Closed);
+                self.end_session(session, SessionEndCause::Closed);
             }
-            Event::Dialed(name, stream) => self.dialed(now, &name, stream),
+            Event::Dialed(name, stream) => self.dial_finished(now, &name, stream),
             Event::Gates(changes) => {
                 self.dispatcher.know_gates(now, &changes);
-                self.dials.know(now, changes);
+                self.dialer.update_records(now, changes);
             }
-            Event::Config(document) => self.learn(document, "store"),
+            Event::Config(document) => self.apply_config(document, "store"),
             Event::Leave => {
-                info!(self.parts.log, "entry is leaving"; "open_jobs" => self.dispatcher.open_jobs());
-                self.view().leaving = true;
+                info!(self.parts.log, "entry is shutting down";
+                    "open_jobs" => self.dispatcher.open_jobs());
+                self.status().leaving = true;
             }
         }
     }
 
-    fn view(&self) -> std::sync::MutexGuard<'_, View> {
-        self.view.lock().unwrap_or_else(PoisonError::into_inner)
+    fn status(&self) -> std::sync::MutexGuard<'_, EntryStatus> {
+        self.status.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn submit(&mut self, now: Moment, submit: Submit) {
-        self.replies.insert(submit.waiter, submit.reply);
-        let (spec, route) = (submit.spec, submit.route);
+    fn submit(&mut self, now: Moment, submission: Submission) {
+        self.replies.insert(submission.waiter, submission.reply);
+        let (spec, route) = (submission.spec, submission.route);
         self.dispatcher
-            .submit(now, submit.waiter, spec, route, submit.wait_us);
+            .submit(now, submission.waiter, spec, route, submission.wait_us);
     }
 
-    fn lose(&mut self, session: SessionId, cause: SessionLoss) {
+    fn end_session(&mut self, session: SessionId, cause: SessionEndCause) {
         cause.count(&self.parts.metrics);
         self.sessions.close(session);
         self.dispatcher.disconnected(session);
-        self.dials.lost(session);
+        self.dialer.session_closed(session);
     }
 
-    fn dial_missing(&mut self, now: Moment) {
+    fn dial_gates(&mut self, now: Moment) {
         let dispatcher = &self.dispatcher;
-        for attempt in self.dials.attempts(now, |gate| dispatcher.wants(gate)) {
+        for attempt in self.dialer.due_attempts(now, |gate| dispatcher.wants(gate)) {
             let (timer, tx) = (self.parts.timer.clone(), self.tx.clone());
             tokio::spawn(async move {
-                let stream = dial(&timer, attempt.addr, attempt.limit).await;
+                let stream = connect(&timer, attempt.addr, attempt.timeout).await;
                 let _ = tx.send(Event::Dialed(attempt.gate, stream));
             });
         }
     }
 
-    fn dialed(&mut self, now: Moment, gate: &Arc<str>, stream: Option<TcpStream>) {
+    fn dial_finished(&mut self, now: Moment, gate: &Arc<str>, stream: Option<TcpStream>) {
         let Some(stream) = stream else {
-            self.dials.failed(gate);
+            self.dialer.attempt_failed(gate);
             self.dispatcher.unreachable(gate);
             return;
         };
         let sessions = &mut self.sessions;
-        let session = self.dials.connected(gate, || sessions.open(stream));
+        let session = self.dialer.connected(gate, || sessions.open(stream));
         if let Some(session) = session {
             self.dispatcher.connected(now, gate, session);
         }
     }
 
-    /// Puts a configuration in force if it is newer.
-    fn learn(&mut self, document: ConfigDocument, from: &'static str) {
+    /// Applies a configuration if it is newer than the current one.
+    fn apply_config(&mut self, document: ConfigDocument, from: &'static str) {
         let before = self.table.borrow().version;
         if document.version <= before {
             return;
         }
-        match self.parts.reader.read(&document.text).and_then(checked) {
+        match self.parts.reader.read(&document.text).and_then(validate) {
             Ok(table) => {
                 info!(self.parts.log, "configuration in force"; "version" => table.version,
                     "before" => before, "routes" => table.routes.len(), "from" => from);
@@ -293,25 +294,25 @@
                 self.dispatcher.config_in_force(document);
             }
             Err(err) => {
-                warn!(self.parts.log, "configuration not usable"; "version" => document.version,
+                warn!(self.parts.log, "invalid configuration"; "version" => document.version,
                     "error" => %err);
             }
         }
     }
 
-    /// Shows the figures of now, once a heartbeat.
-    fn show_figures(&mut self, now: Moment) {
-        if now.mono_us >= self.shown_us + micros(self.parts.limits.beat) {
-            self.shown_us = now.mono_us;
-            self.sessions.show_counts(&self.parts.metrics);
+    /// Updates the metrics, once per heartbeat interval.
+    fn report_metrics(&mut self, now: Moment) {
+        if now.mono_us >= self.metrics_reported_us + micros(self.parts.limits.heartbeat_interval) {
+            self.metrics_reported_us = now.mono_us;
+            self.sessions.report_frame_counts(&self.parts.metrics);
             self.dispatcher.show_gates(&self.parts.metrics);
             self.dispatcher.show_lag(now, &self.parts.metrics);
-            let late_ms = std::mem::take(&mut self.latest_turn).as_millis() as u64;
-            self.parts.metrics.time("turn_late_ms", late_ms);
+            let delay_ms = std::mem::take(&mut self.max_turn_delay).as_millis() as u64;
+            self.parts.metrics.time("turn_late_ms", delay_ms);
         }
     }
 
-    fn act(&mut self, now: Moment) {
+    fn execute_actions(&mut self, now: Moment) {
         for action in self.dispatcher.take_actions(now) {
             match action {
                 DispatchAction::Send { session, message } => {
@@ -320,45 +321,54 @@
                     }
                     self.sessions.send(session, message);
                 }
-                DispatchAction::Close(session) => self.lose(session, SessionLoss::GivenUp),
-                DispatchAction::Part(session) => self.lose(session, SessionLoss::Surplus),
-                DispatchAction::Redial(gate) => self.dials.doubt(&gate),
+                DispatchAction::Close(session) => {
+                    self.end_session(session, SessionEndCause::GivenUp)
+                }
+                DispatchAction::Part(session) => {
+                    self.end_session(session, SessionEndCause::Surplus)
+                }
+                DispatchAction::Redial(gate) => self.dialer.suspect_connection(&gate),
                 DispatchAction::Reply { waiter, answer } => {
                     if let Some(reply) = self.replies.remove(&waiter) {
                         let _ = reply.send(answer);
                     }
                 }
-                DispatchAction::Learned(document) => self.learn(document, "entry"),
+                DispatchAction::Learned(document) => self.apply_config(document, "entry"),
             }
         }
         for session in self.sessions.flush() {
-            warn!(self.parts.log, "gate does not keep up"; "session" => session.0);
-            self.lose(session, SessionLoss::Stuck);
+            warn!(self.parts.log, "cannot queue frame for gate; closing session";
+                "session" => session.0);
+            self.end_session(session, SessionEndCause::Stuck);
         }
         let (gates, jobs) = (self.dispatcher.open_gates(), self.dispatcher.open_jobs());
-        let mut view = self.view();
-        view.gates = gates;
-        view.jobs = jobs;
+        let mut status = self.status();
+        status.gates = gates;
+        status.jobs = jobs;
     }
 }
 
-/// The table, if the parts of the scheduler that it turns on go together.
-fn checked(table: RouteTable) -> Result<RouteTable> {
-    let faults = table.scheduling.faults();
-    match faults.is_empty() {
+/// Returns the table, unless its scheduling features conflict.
+fn validate(table: RouteTable) -> Result<RouteTable> {
+    let errors = table.scheduling.faults();
+    match errors.is_empty() {
         true => Ok(table),
-        false => Err(Error::Invalid(faults)),
+        false => Err(Error::Invalid(errors)),
     }
 }
 
-fn document(reader: &dyn ConfigReader, text: bytes::Bytes, log: &Logger) -> Option<ConfigDocument> {
+fn read_document(
+    reader: &dyn ConfigReader,
+    text: bytes::Bytes,
+    log: &Logger,
+) -> Option<ConfigDocument> {
     match reader.read(&text) {
         Ok(table) => Some(ConfigDocument {
             version: table.version,
             text,
         }),
         Err(err) => {
-            warn!(log, "configuration not usable"; "error" => %err);
+            warn!(log, "invalid configuration"; "error" => %err);
             None
         }
     }
--- a/src/ephemeral/follower.rs
+++ b/src/ephemeral/follower.rs
@@ -1,9 +1,7 @@
-//! Following keys of the store: read once, then watched for changes.
+//! Follows keys of the store: reads them once, then watches for changes.
 //!
-//! A change costs its own bytes, not those of all keys under the prefix: with 70
-//! records of gates, or a configuration of 2,845 routes, the rest is most of what a
-//! narrow link would carry. Everything is read anew only where the store has
-//! forgotten what changed or a watch fails, and now and then what leases hold.
+//! Watches return only the changed entries. All entries are read again if a watch fails or the
+//! store no longer has the changes, and periodically for keys under leases.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -17,85 +15,85 @@
 use crate::store::{Store, StoreChange, StoreEntry, StoreError, StoreReply, StoreRequest};
 use crate::time::{Moment, Timer};
 
-/// Wait of a watch for a change. A store that falls silent may leave it without an
-/// answer; with the time limit of the call it is begun anew 2.1 s after the store's
-/// return at the latest, because 3 s after it the configuration in force must be
-/// the newest one (the platform's `contact_ms`; `config_ms` does not add to it).
-pub const WATCH: Duration = Duration::from_millis(1_500);
+/// Longest wait of a watch for a change. A store that stops answering may leave a watch open, so
+/// this bounds the delay of updates after its recovery.
+pub const WATCH_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// Age of a whole read after which keys under leases are read anew: they may be taken
-/// away without any watch being told, and a gate that is gone would be dialed for good.
-/// 70 records of 400 bytes in this time are 1.4 kB a second.
-const REREAD: Duration = Duration::from_secs(20);
-/// Least time between two watches of keys under leases: when a fleet starts, its gates
-/// write their records within 2 s, and each record would wake every entry (480 records
-/// and 55 entries: 26,000 calls). What changes meanwhile comes with the next answer; a
-/// gate that is new is used so much later.
-const GATHER: Duration = Duration::from_millis(250);
-/// Most reads under way at a time. Two answers may be lost without delay, and a read
-/// that lasts keeps a third of a narrow link: a megabyte (0.45 s on 25 Mbit/s by
-/// itself) is read in 1.35 s at most, and in no bounded time without this limit.
-const MOST_READS: usize = 3;
+/// Interval of full reads of keys under leases, which may be removed without an event on the
+/// watch.
+const REREAD_INTERVAL: Duration = Duration::from_secs(20);
+/// Shortest interval between two watches of keys under leases; batches the changes while a
+/// fleet starts.
+const MIN_WATCH_INTERVAL: Duration = Duration::from_millis(250);
+/// Largest number of concurrent reads. More would share the bandwidth of a slow link so that
+/// none completes in bounded time.
+const MAX_CONCURRENT_READS: usize = 3;
 
-/// Times the last whole read after which a read is repeated beside the first.
-const USUAL_READS: u32 = 2;
+/// Multiple of the last read time after which a read is repeated in parallel.
+const HEDGE_DELAY_FACTOR: u32 = 2;
 
-/// Notes once when a dependency is lost, and once when it is back.
-pub(super) struct Reachable {
-    what: &'static str,
+/// Logs when the store becomes unreachable and when it is reachable again.
+pub(super) struct StoreAvailability {
+    label: &'static str,
     log: Logger,
-    up: bool,
+    available: bool,
 }
 
-impl Reachable {
-    /// A dependency that is taken as there; `what` names what it is needed for.
-    pub(super) fn new(what: &'static str, log: Logger) -> Reachable {
-        let up = true;
-        Reachable { what, log, up }
+impl StoreAvailability {
+    /// Assumes that the store is reachable; `label` names the data it is needed for.
+    pub(super) fn new(label: &'static str, log: Logger) -> StoreAvailability {
+        let available = true;
+        StoreAvailability {
+            label,
+            log,
+            available,
+        }
     }
 
-    pub(super) fn note<T>(&mut self, result: &Result<T, StoreError>) {
-        let up = result.is_ok();
-        if up == self.up {
+    pub(super) fn record<T>(&mut self, result: &Result<T, StoreError>) {
+        let available = result.is_ok();
+        if available == self.available {
             return;
         }
-        self.up = up;
+        self.available = available;
         match result {
-            Ok(_) => info!(self.log, "store regained"; "for" => self.what),
-            Err(err) => warn!(self.log, "store lost"; "for" => self.what, "error" => %err),
+            Ok(_) => info!(self.log, "store is reachable again"; "for" => self.label),
+            Err(err) => {
+                warn!(self.log, "store is unreachable"; "for" => self.label, "error" => %err)
+            }
         }
     }
 }
 
-/// What is known of the keys under a prefix.
-struct Known {
+/// Entries under a prefix at one revision.
+struct KeySnapshot {
     revision: u64,
     entries: BTreeMap<String, StoreEntry>,
 }
 
-impl Known {
-    fn new(revision: u64, entries: Vec<StoreEntry>) -> Known {
+impl KeySnapshot {
+    fn new(revision: u64, entries: Vec<StoreEntry>) -> KeySnapshot {
         let entries = entries.into_iter().map(|entry| (entry.key.clone(), entry));
         let entries = entries.collect();
-        Known { revision, entries }
+        KeySnapshot { revision, entries }
     }
 
-    /// What is told of it after `changes`, or after everything was read.
-    fn news<'a>(&'a self, changes: Option<&'a [StoreChange]>) -> News<'a> {
-        News {
+    /// The update to deliver after `changes`, or after a full read if `None`.
+    fn update<'a>(&'a self, changes: Option<&'a [StoreChange]>) -> KeyUpdate<'a> {
+        KeyUpdate {
             entries: &self.entries,
             changes,
         }
     }
 
-    /// Takes in what was read anew; tells whether it may be news.
+    /// Replaces all entries; returns whether the revision differs.
     fn replace(&mut self, revision: u64, entries: Vec<StoreEntry>) -> bool {
-        let news = revision != self.revision;
-        *self = Known::new(revision, entries);
-        news
+        let changed = revision != self.revision;
+        *self = KeySnapshot::new(revision, entries);
+        changed
     }
 
-    /// Takes in changes; tells whether there were any.
+    /// Applies changes; returns whether there were any.
     fn apply(&mut self, revision: u64, changes: &[StoreChange]) -> bool {
         for change in changes {
             match change {
@@ -112,34 +110,34 @@
     }
 }
 
-/// What is told of followed keys.
+/// Update of the followed keys.
 #[derive(Clone, Copy, Debug)]
-pub struct News<'a> {
-    /// All entries as they are now.
+pub struct KeyUpdate<'a> {
+    /// All current entries.
     pub entries: &'a BTreeMap<String, StoreEntry>,
-    /// What has changed since the last time; none if everything was read anew.
+    /// Changes since the last update; `None` if all entries were read again.
     pub changes: Option<&'a [StoreChange]>,
 }
 
 /// Why watching ended.
 enum WatchEnd {
-    /// Whoever was told of changes is gone.
-    NobodyListens,
-    /// A watch failed; `heard` tells whether one before it was answered.
-    Failed { heard: bool },
+    /// The receiver of updates is gone.
+    ReceiverGone,
+    /// A watch failed; `answered` is set if an earlier one was answered.
+    Failed { answered: bool },
 }
 
-/// Keys that are followed.
+/// Keys to follow.
 #[derive(Clone, Copy, Debug)]
-pub struct Keys<'a> {
-    /// What they begin with.
+pub struct WatchedKeys<'a> {
+    /// Prefix of the keys.
     pub prefix: &'a str,
-    /// Their name in logs and figures.
-    pub what: &'static str,
-    /// Whether leases hold them, so that they may vanish unheard.
+    /// Name in logs and metrics.
+    pub label: &'static str,
+    /// Whether leases hold them, so that they may be removed without an event.
     pub leased: bool,
     /// Longest wait of a watch for a change.
-    pub wait: Duration,
+    pub max_wait: Duration,
 }
 
 /// Follows keys of the store.
@@ -147,91 +145,105 @@
 pub struct Follower {
     /// The store.
     pub store: Arc<dyn Store>,
-    /// Timer service.
+    /// Clock and timers.
     pub timer: Timer,
-    /// Where the times of reads go.
+    /// Sink for read times.
     pub metrics: Metrics,
-    /// Where events are logged.
+    /// Logger.
     pub log: Logger,
 }
 
 impl Follower {
-    /// The entries under a prefix, read once, for as long as it takes; `what` names them in
-    /// logs and figures.
-    pub async fn read(&self, prefix: &str, what: &'static str) -> Vec<StoreEntry> {
-        let mut reachable = Reachable::new(what, self.log.clone());
-        let (known, _) = self.read_anew(prefix, Duration::ZERO, &mut reachable).await;
-        known.entries.into_values().collect()
+    /// Reads the entries under a prefix, retrying until the store answers; `label` names them
+    /// in logs and metrics.
+    pub async fn read(&self, prefix: &str, label: &'static str) -> Vec<StoreEntry> {
+        let mut availability = StoreAvailability::new(label, self.log.clone());
+        let (snapshot, _) = self
+            .read_until_answered(prefix, Duration::ZERO, &mut availability)
+            .await;
+        snapshot.entries.into_values().collect()
     }
 
-    /// Tells the entries of `keys`, anew whenever one of them changes, until `tell`
-    /// says that nobody listens.
-    pub async fn follow(&self, keys: &Keys<'_>, mut tell: impl FnMut(Vec<StoreEntry>) -> bool) {
-        let tell_all = |news: News<'_>| tell(news.entries.values().cloned().collect());
-        self.follow_changes(keys, tell_all).await;
+    /// Passes all entries of `keys` to `deliver`, first and at each change, until it returns
+    /// `false`.
+    pub async fn follow(
+        &self,
+        keys: &WatchedKeys<'_>,
+        mut deliver: impl FnMut(Vec<StoreEntry>) -> bool,
+    ) {
+        let on_update = |update: KeyUpdate<'_>| deliver(update.entries.values().cloned().collect());
+        self.follow_changes(keys, on_update).await;
     }
 
-    /// The same for whoever need not look at all entries again at each change.
-    pub async fn follow_changes(&self, keys: &Keys<'_>, mut tell: impl FnMut(News<'_>) -> bool) {
-        let Keys { prefix, what, .. } = *keys;
-        let mut reachable = Reachable::new(what, self.log.clone());
+    /// Like [`Follower::follow`], but also passes the changes.
+    pub async fn follow_changes(
+        &self,
+        keys: &WatchedKeys<'_>,
+        mut deliver: impl FnMut(KeyUpdate<'_>) -> bool,
+    ) {
+        let WatchedKeys { prefix, label, .. } = *keys;
+        let mut availability = StoreAvailability::new(label, self.log.clone());
         let mut backoff = Backoff::default();
-        let mut usual = Duration::ZERO;
-        let mut told = None;
+        let mut typical = Duration::ZERO;
+        let mut delivered = None;
         loop {
-            let (mut known, took) = self.read_anew(prefix, usual, &mut reachable).await;
-            usual = took;
-            if told.as_ref() != Some(&known.entries) && !tell(known.news(None)) {
+            let (mut snapshot, took) = self
+                .read_until_answered(prefix, typical, &mut availability)
+                .await;
+            typical = took;
+            if delivered.as_ref() != Some(&snapshot.entries) && !deliver(snapshot.update(None)) {
                 return;
             }
-            let watching = self.watch_all(keys, &mut known, &mut reachable, &mut tell);
+            let watching =
+                self.watch_until_failure(keys, &mut snapshot, &mut availability, &mut deliver);
             let ended = match keys.leased {
-                true => self.timer.within(REREAD, watching).await,
+                true => self.timer.within(REREAD_INTERVAL, watching).await,
                 false => Some(watching.await),
             };
             match ended {
-                Some(WatchEnd::NobodyListens) => return,
-                Some(WatchEnd::Failed { heard: true }) | None => backoff = Backoff::default(),
-                Some(WatchEnd::Failed { heard: false }) => backoff.grow(),
+                Some(WatchEnd::ReceiverGone) => return,
+                Some(WatchEnd::Failed { answered: true }) | None => backoff = Backoff::default(),
+                Some(WatchEnd::Failed { answered: false }) => backoff.grow(),
             }
-            told = Some(known.entries);
+            delivered = Some(snapshot.entries);
             self.timer.sleep(backoff.pause()).await;
         }
     }
 
-    /// Watches on and on, and tells the entries at each change.
-    async fn watch_all(
+    /// Watches repeatedly and delivers each change, until a watch fails.
+    async fn watch_until_failure(
         &self,
-        keys: &Keys<'_>,
-        known: &mut Known,
-        reachable: &mut Reachable,
-        tell: &mut impl FnMut(News<'_>) -> bool,
+        keys: &WatchedKeys<'_>,
+        snapshot: &mut KeySnapshot,
+        availability: &mut StoreAvailability,
+        deliver: &mut impl FnMut(KeyUpdate<'_>) -> bool,
     ) -> WatchEnd {
-        let mut heard = false;
+        let mut answered = false;
         loop {
-            let asked = self.timer.now();
-            let listened = match self.watch(keys, known.revision, reachable).await {
+            let started = self.timer.now();
+            let accepted = match self.watch(keys, snapshot.revision, availability).await {
                 Ok(StoreReply::Changes { revision, changes }) => {
-                    let changed = known.apply(revision, &changes);
-                    !changed || tell(known.news(Some(&changes)))
+                    let changed = snapshot.apply(revision, &changes);
+                    !changed || deliver(snapshot.update(Some(&changes)))
                 }
                 Ok(StoreReply::Entries { revision, entries }) => {
-                    debug!(self.log, "watch brought everything"; "for" => reachable.what,
-                        "after" => known.revision, "revision" => revision);
-                    let changed = known.replace(revision, entries);
-                    !changed || tell(known.news(None))
+                    debug!(self.log, "watch returned all entries"; "for" => availability.label,
+                        "after" => snapshot.revision, "revision" => revision);
+                    let changed = snapshot.replace(revision, entries);
+                    !changed || deliver(snapshot.update(None))
                 }
                 reply => {
-                    debug!(self.log, "watch begins anew"; "for" => reachable.what, "reply" => ?reply);
-                    return WatchEnd::Failed { heard };
+                    debug!(self.log, "watch failed; reading all entries again";
+                        "for" => availability.label, "reply" => ?reply);
+                    return WatchEnd::Failed { answered };
                 }
             };
-            heard = true;
-            if !listened {
-                return WatchEnd::NobodyListens;
+            answered = true;
+            if !accepted {
+                return WatchEnd::ReceiverGone;
             }
             if keys.leased {
-                let next_us = asked.after(GATHER);
+                let next_us = started.after(MIN_WATCH_INTERVAL);
                 self.timer.sleep(self.timer.now().left(next_us)).await;
             }
         }
@@ -239,79 +251,79 @@
 
     async fn watch(
         &self,
-        keys: &Keys<'_>,
+        keys: &WatchedKeys<'_>,
         after: u64,
-        reachable: &mut Reachable,
+        availability: &mut StoreAvailability,
     ) -> Result<StoreReply, StoreError> {
         let watch = StoreRequest::Watch {
             prefix: keys.prefix.to_string(),
             after,
-            wait_ms: keys.wait.as_millis() as u64,
+            wait_ms: keys.max_wait.as_millis() as u64,
         };
         let reply = self.store.call(watch).await;
-        reachable.note(&reply);
+        availability.record(&reply);
         if reply.is_err() {
-            let name = format!("store_unanswered.{}", reachable.what);
+            let name = format!("store_unanswered.{}", availability.label);
             self.metrics.count(&name, 1);
         }
         reply
     }
 
-    /// Reads the entries under a prefix, for as long as it takes; returns them and how
-    /// long the read took that brought them.
+    /// Reads the entries under a prefix, retrying until the store answers; returns them and the
+    /// duration of the successful read.
     ///
-    /// A call that has no answer yet does not hold up the next one: the first call
-    /// of a process often meets the store's return from an outage, and an answer
-    /// that is lost costs its whole time limit. Reads that usually last are repeated
-    /// later: what takes 0.2 s would else be read three times over.
-    async fn read_anew(
+    /// Further reads start while earlier ones are pending, because a lost answer costs a whole
+    /// call timeout. `typical` delays them, so that slow reads are not repeated needlessly.
+    async fn read_until_answered(
         &self,
         prefix: &str,
-        usual: Duration,
-        reachable: &mut Reachable,
-    ) -> (Known, Duration) {
+        typical: Duration,
+        availability: &mut StoreAvailability,
+    ) -> (KeySnapshot, Duration) {
         let mut calls = JoinSet::new();
-        let mut backoff = Backoff::from(usual * USUAL_READS);
+        let mut backoff = Backoff::from(typical * HEDGE_DELAY_FACTOR);
         loop {
-            if calls.len() < MOST_READS {
+            if calls.len() < MAX_CONCURRENT_READS {
                 let (store, prefix) = (self.store.clone(), prefix.to_string());
-                let asked = self.timer.now();
-                calls.spawn(async move { (asked, store.call(StoreRequest::Get { prefix }).await) });
+                let started = self.timer.now();
+                calls.spawn(
+                    async move { (started, store.call(StoreRequest::Get { prefix }).await) },
+                );
             }
             let pause = self.timer.sleep(backoff.pause());
             tokio::pin!(pause);
             loop {
-                let (asked, reply) = tokio::select! {
+                let (started, reply) = tokio::select! {
                     Some(Ok(answered)) = calls.join_next() => answered,
                     () = &mut pause => break,
                 };
-                reachable.note(&reply);
-                let took = self.note_read(reachable.what, asked, &reply);
+                availability.record(&reply);
+                let took = self.record_read(availability.label, started, &reply);
                 if let Ok(StoreReply::Entries { revision, entries }) = reply {
-                    debug!(self.log, "everything read"; "for" => reachable.what,
+                    debug!(self.log, "all entries read"; "for" => availability.label,
                         "entries" => entries.len(), "revision" => revision,
                         "took_us" => took.as_micros() as u64);
-                    return (Known::new(revision, entries), took);
+                    return (KeySnapshot::new(revision, entries), took);
                 }
             }
             backoff.grow();
         }
     }
 
-    /// Counts a read; returns how long it took.
-    fn note_read(
+    /// Records the metrics of a read; returns its duration.
+    fn record_read(
         &self,
-        what: &'static str,
-        asked: Moment,
+        label: &'static str,
+        started: Moment,
         reply: &Result<StoreReply, StoreError>,
     ) -> Duration {
-        let took = Duration::from_micros(self.timer.now().mono_us - asked.mono_us);
+        let took = Duration::from_micros(self.timer.now().mono_us - started.mono_us);
         match reply {
             Ok(_) => {
-                let name = format!("store_read_ms.{what}");
+                let name = format!("store_read_ms.{label}");
                 self.metrics.time(&name, took.as_millis() as u64);
             }
-            Err(_) => self.metrics.count(&format!("store_unanswered.{what}"), 1),
+            Err(_) => self.metrics.count(&format!("store_unanswered.{label}"), 1),
         }
         took
     }
--- a/src/ephemeral/frame_counts.rs
+++ b/src/ephemeral/frame_counts.rs
@@ -1,28 +1,26 @@
-//! What frames are sent for, and how many of each kind a process sends.
-//!
-//! Orders and reports go with the work; what the others cost beside them tells whether
-//! control grows faster than the fleet's work does.
+//! Kinds of frames, and counts of the frames sent by kind, which separate the cost of work from
+//! that of control traffic.
 
 use crate::metrics::Metrics;
 
-/// What a frame is sent for: the first of these that one of its messages is for.
+/// Kind of a frame: the first of these that any of its messages has.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum FrameKind {
-    /// Opening a session.
+    /// Opens a session.
     Hello,
-    /// Starting and stopping runs.
+    /// Starts or stops runs.
     Order,
-    /// Beginnings and ends of runs.
+    /// Reports beginnings or ends of runs.
     Report,
-    /// A configuration, or its version.
+    /// Carries a configuration or its version.
     Config,
-    /// The load of a gate alone.
+    /// Carries only the load of a gate.
     Load,
-    /// A heartbeat alone.
+    /// Carries only a heartbeat.
     Beat,
 }
 
-/// All kinds, in their order.
+/// All kinds, in order.
 const KINDS: [FrameKind; 6] = [
     FrameKind::Hello,
     FrameKind::Order,
@@ -33,8 +31,8 @@
 ];
 
 impl FrameKind {
-    /// Its name among the metrics.
-    fn name(self) -> &'static str {
+    /// Name in metrics.
+    fn metric_name(self) -> &'static str {
         match self {
             FrameKind::Hello => "hello",
             FrameKind::Order => "order",
@@ -46,19 +44,18 @@
     }
 }
 
-/// A message that tells what it is for.
-pub trait Purpose {
-    /// What it is for.
-    fn kind(&self) -> FrameKind;
+/// Message that determines the kind of its frame.
+pub trait FrameMessage {
+    /// Kind of a frame with only this message.
+    fn frame_kind(&self) -> FrameKind;
 }
 
-/// What a frame with these messages is for; `None` if there are none.
-pub fn kind_of<M: Purpose>(messages: &[M]) -> Option<FrameKind> {
-    messages.iter().map(Purpose::kind).min()
+/// Kind of a frame with these messages; `None` if there are none.
+pub fn frame_kind<M: FrameMessage>(messages: &[M]) -> Option<FrameKind> {
+    messages.iter().map(FrameMessage::frame_kind).min()
 }
 
-/// Frames that were sent and not shown yet; a count for each frame would cost more than
-/// many of them do.
+/// Frames sent since the last report, batched to keep the cost per frame low.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct FrameCounts {
     sent: [u64; KINDS.len()],
@@ -66,17 +63,17 @@
 
 impl FrameCounts {
     /// Counts a frame.
-    pub fn note<M: Purpose>(&mut self, messages: &[M]) {
-        if let Some(kind) = kind_of(messages) {
+    pub fn record<M: FrameMessage>(&mut self, messages: &[M]) {
+        if let Some(kind) = frame_kind(messages) {
             self.sent[kind as usize] += 1;
         }
     }
 
-    /// Adds what was counted to the figures, and begins anew.
-    pub fn show(&mut self, metrics: &Metrics) {
+    /// Adds the counts to the metrics and resets them.
+    pub fn report(&mut self, metrics: &Metrics) {
         for (kind, sent) in KINDS.iter().zip(std::mem::take(&mut self.sent)) {
             if sent > 0 {
-                metrics.count(&format!("frames_sent.{}", kind.name()), sent);
+                metrics.count(&format!("frames_sent.{}", kind.metric_name()), sent);
             }
         }
     }
--- a/src/ephemeral/gate/config.rs
+++ b/src/ephemeral/gate/config.rs
@@ -4,7 +4,7 @@
 //! carries parts of documents between them; it keeps none.
 
 use super::{Gate, GateAction};
-use crate::ephemeral::message::{ConfigPart, PartWanted, ProcessId, ToEntry};
+use crate::ephemeral::message::{ConfigPart, ConfigPartRequest, ProcessId, ToEntry};
 use crate::ephemeral::session::SessionId;
 
 impl Gate {
@@ -34,7 +34,7 @@
     }
 
     /// An entry wants part of a document: asks one that has it.
-    pub(super) fn want_config(&mut self, asker: SessionId, wanted: PartWanted) {
+    pub(super) fn want_config(&mut self, asker: SessionId, wanted: ConfigPartRequest) {
         let holders = self.owners.values();
         let holders: Vec<SessionId> = holders
             .filter(|owner| owner.config >= wanted.version)
--- a/src/ephemeral/gate/life.rs
+++ b/src/ephemeral/gate/life.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use crate::ephemeral::limits::SLOW_CLOCK;
+use crate::ephemeral::limits::MAX_CLOCK_SLOWDOWN;
 use crate::ephemeral::message::WorkerTraits;
 use crate::ephemeral::worker::HoldReply;
 use crate::ephemeral::worker_id::WorkerId;
@@ -22,7 +22,7 @@
 
 /// When a lease that was given at `given_us` is over for certain, in monotonic microseconds.
 pub(super) fn lease_end_us(given_us: u64, lease: Duration) -> u64 {
-    given_us + micros(lease.mul_f64(SLOW_CLOCK) + LEASE_MARGIN)
+    given_us + micros(lease.mul_f64(MAX_CLOCK_SLOWDOWN) + LEASE_MARGIN)
 }
 
 /// Age that no answer to a start reaches, whose limit is far shorter.
@@ -119,7 +119,7 @@
     /// A time that the worker's clock has reached for certain, in milliseconds.
     fn clock(&self, now: Moment) -> f64 {
         let elapsed_us = now.mono_us.saturating_sub(self.clock_at_us);
-        self.clock_ms + elapsed_us as f64 / 1_000.0 / SLOW_CLOCK
+        self.clock_ms + elapsed_us as f64 / 1_000.0 / MAX_CLOCK_SLOWDOWN
     }
 
     /// Whether its clock is known.
--- a/src/ephemeral/gate/losses.rs
+++ b/src/ephemeral/gate/losses.rs
@@ -11,7 +11,7 @@
 use super::worker_life::MUTE_FROM;
 use super::{Gate, GateAction, Run, RunState};
 use crate::ephemeral::job::RunId;
-use crate::ephemeral::losses::{WorkerLoss, is_likely, went_on};
+use crate::ephemeral::losses::{WorkerLoss, is_likely_cause, was_still_running};
 use crate::ephemeral::message::{ProcessId, ToEntry};
 use crate::ephemeral::worker::{OrderError, StartAnswer, StartReply};
 use crate::ephemeral::worker_id::WorkerId;
@@ -129,7 +129,7 @@
             let by_this_life = record.listed || !self.has_restarted(worker);
             let known = record.began() && record.mark.is_some() && by_this_life;
             let loss = WorkerLoss {
-                likely: known && is_likely(age_us, record.expected_us, youngest_us),
+                likely: known && is_likely_cause(age_us, record.expected_us, youngest_us),
                 ran: known && self.ran_at_loss(now, record),
                 ..loss_of(*run, worker)
             };
@@ -181,7 +181,7 @@
         let taken_us = self.answered_us.saturating_sub(micros(BUSY_WAIT));
         let in_lease = found_us <= taken_us + micros(self.limits.lease);
         let age_us = lost_us.saturating_sub(run.ordered_us);
-        in_lease && !stopped && went_on(age_us, run.expected_us)
+        in_lease && !stopped && was_still_running(age_us, run.expected_us)
     }
 
     /// Tells each entry the likeliest reasons, and all that became of its own runs.
--- a/src/ephemeral/gate/mod.rs
+++ b/src/ephemeral/gate/mod.rs
@@ -390,7 +390,7 @@
         self.load_changed = true;
         self.tell(&past.owner, past.report(run));
         // The number of a run that never left the gate may be used again.
-        if !matches!(end, RunEnd::NotRun(reason) if !reason.reached_worker()) {
+        if !matches!(end, RunEnd::NotRun(reason) if !reason.may_have_reached_worker()) {
             self.past.insert(run, past);
             self.past_order.push_back((now.mono_us, run));
         }
--- a/src/ephemeral/gate/patience.rs
+++ b/src/ephemeral/gate/patience.rs
@@ -44,7 +44,7 @@
             return;
         }
         self.fill(now);
-        if order.patience_us == 0 && place.priority != Priority::SPARE_ROOM {
+        if order.patience_us == 0 && place.priority != Priority::BEST_EFFORT {
             self.hold(now, place, order.due_us);
         }
         self.send_back_hopeless(now);
@@ -88,7 +88,7 @@
         metrics.count("runs_held", counts.held);
         metrics.count("runs_sent_back", counts.sent_back);
         metrics.gauge("runs_waiting", self.queue.len() as u64);
-        let last = self.headroom.usual(Priority::SPARE_ROOM);
+        let last = self.headroom.usual(Priority::BEST_EFFORT);
         let headroom = self.headroom_for(now, &last);
         metrics.gauge("headroom_cpu_milli", headroom);
     }
--- a/src/ephemeral/gate/progress.rs
+++ b/src/ephemeral/gate/progress.rs
@@ -307,7 +307,7 @@
             info!(self.log, "run without owner"; "run" => %row.run, "over" => over);
             let claim = match over {
                 true => Duration::ZERO,
-                false => self.limits.claim,
+                false => self.limits.claim_window,
             };
             self.unclaimed.insert(row.run, now.mono_us + micros(claim));
         }
--- a/src/ephemeral/gate/restart.rs
+++ b/src/ephemeral/gate/restart.rs
@@ -62,7 +62,7 @@
     pub(super) fn keep_runs(&mut self, now: Moment, took_lease: bool) {
         let may_start = self.runs.values().any(Run::is_unanswered);
         let foreign_lease_us = match took_lease || may_start {
-            true => lease_end_us(now.mono_us, self.limits.most_lease),
+            true => lease_end_us(now.mono_us, self.limits.max_lease),
             false => 0,
         };
         self.kept = Some(Kept {
--- a/src/ephemeral/gate/sessions.rs
+++ b/src/ephemeral/gate/sessions.rs
@@ -237,7 +237,7 @@
 
     /// Whether an entry was heard within the silence limit.
     pub(super) fn is_heard(&self, now: Moment, entry: &ProcessId) -> bool {
-        let silence_us = micros(self.limits.silence);
+        let silence_us = micros(self.limits.peer_timeout);
         let owner = self.owners.get(entry);
         owner.is_some_and(|owner| now.mono_us <= owner.heard_us + silence_us)
     }
@@ -251,7 +251,7 @@
 
     /// Ends the runs of entries that have been silent for too long.
     pub(super) fn expire_owners(&mut self, now: Moment) {
-        let idle_us = micros(self.limits.idle_silence);
+        let idle_us = micros(self.limits.idle_peer_timeout);
         let silent: Vec<ProcessId> = self
             .owners
             .iter()
@@ -339,8 +339,8 @@
     /// monotonic microseconds.
     pub(super) fn load_due_us(&self, now: Moment, owner: &Owner) -> u64 {
         let beat = match self.is_busy(now, owner) {
-            true => self.limits.beat,
-            false => self.limits.idle_beat,
+            true => self.limits.heartbeat_interval,
+            false => self.limits.idle_heartbeat_interval,
         };
         let beat_us = owner.load_us + micros(beat);
         let confirm_us = owner.unconfirmed_us.map(|came_us| came_us + CONFIRM_US);
--- a/src/ephemeral/gate/turns.rs
+++ b/src/ephemeral/gate/turns.rs
@@ -45,8 +45,8 @@
     /// When an entry is to be told something, or counts as gone.
     fn owner_due_us(&self, now: Moment, entry: &ProcessId, owner: &Owner) -> u64 {
         let silence = match self.has_live_runs(entry) {
-            true => self.limits.silence,
-            false => self.limits.idle_silence,
+            true => self.limits.peer_timeout,
+            false => self.limits.idle_peer_timeout,
         };
         let gone_us = owner.heard_us + micros(silence) + 1;
         match owner.session {
--- a/src/ephemeral/gate/worker_life.rs
+++ b/src/ephemeral/gate/worker_life.rs
@@ -94,7 +94,7 @@
                 "before_cpu_milli" => life.traits.capacity.cpu_milli);
             let mut record = report.record();
             let before = &life.traits.largest;
-            record.traits.largest = report.capacity.largest_of_each(before);
+            record.traits.largest = report.capacity.max_of_each(before);
             life.traits = Arc::new(record.traits.clone());
             self.room.resize(report.capacity);
             self.load_changed = true;
@@ -324,7 +324,7 @@
 
     /// Stops runs of an earlier gate whose entries did not come back.
     pub(super) fn drop_unclaimed(&mut self, now: Moment) {
-        let silence_us = micros(self.limits.silence);
+        let silence_us = micros(self.limits.peer_timeout);
         let mut sent = Vec::new();
         for (run, due_us) in &mut self.unclaimed {
             if *due_us <= now.mono_us {
--- a/src/ephemeral/job.rs
+++ b/src/ephemeral/job.rs
@@ -1,4 +1,4 @@
-//! What a caller asks for: a job, its tasks and what they need.
+//! Job specifications: jobs, their tasks and the resources that these need.
 
 use std::fmt;
 use std::str::FromStr;
@@ -6,10 +6,9 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Digits of a job's id.
-const ID_DIGITS: usize = 16;
+const JOB_ID_HEX_DIGITS: usize = 16;
 
-/// Id of a job, chosen by its caller.
+/// Id of a job, chosen by the caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct JobId(pub u64);
 
@@ -19,21 +18,21 @@
     }
 }
 
-/// The text is no id of a job.
+/// The text is not a valid job id.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct NoJobId;
+pub struct InvalidJobId;
 
 impl FromStr for JobId {
-    type Err = NoJobId;
+    type Err = InvalidJobId;
 
-    fn from_str(text: &str) -> Result<JobId, NoJobId> {
-        let plain = text.bytes().all(|byte| byte.is_ascii_hexdigit());
-        if text.len() != ID_DIGITS || !plain {
-            return Err(NoJobId);
+    fn from_str(text: &str) -> Result<JobId, InvalidJobId> {
+        let is_hex = text.bytes().all(|byte| byte.is_ascii_hexdigit());
+        if text.len() != JOB_ID_HEX_DIGITS || !is_hex {
+            return Err(InvalidJobId);
         }
         u64::from_str_radix(text, 16)
             .map(JobId)
-            .map_err(|_| NoJobId)
+            .map_err(|_| InvalidJobId)
     }
 }
 
@@ -42,9 +41,9 @@
 pub struct RunId {
     /// The job.
     pub job: JobId,
-    /// The task's place in the job.
+    /// Index of the task in the job.
     pub index: u32,
-    /// Count of the task's runs, from 1.
+    /// Number of the run among the runs of the task, from 1.
     pub run: u32,
 }
 
@@ -54,26 +53,26 @@
     }
 }
 
-/// What a worker has, or a task needs.
+/// Resources that a worker has or a task needs.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Resources {
     /// Processor time, in thousandths of a core.
     pub cpu_milli: u64,
     /// Memory in MiB.
     pub memory_mb: u64,
-    /// Accelerators.
+    /// Number of accelerators.
     pub accelerators: u64,
 }
 
 impl Resources {
-    /// Whether this fits into `room`.
+    /// Whether these resources fit into `room`.
     pub fn fits_in(&self, room: &Resources) -> bool {
         self.cpu_milli <= room.cpu_milli
             && self.memory_mb <= room.memory_mb
             && self.accelerators <= room.accelerators
     }
 
-    /// The sum of both.
+    /// Sum of both.
     pub fn plus(&self, other: &Resources) -> Resources {
         Resources {
             cpu_milli: self.cpu_milli + other.cpu_milli,
@@ -82,8 +81,8 @@
         }
     }
 
-    /// The larger of both in each.
-    pub fn largest_of_each(&self, other: &Resources) -> Resources {
+    /// Maximum of both, by resource.
+    pub fn max_of_each(&self, other: &Resources) -> Resources {
         Resources {
             cpu_milli: self.cpu_milli.max(other.cpu_milli),
             memory_mb: self.memory_mb.max(other.memory_mb),
@@ -91,7 +90,7 @@
         }
     }
 
-    /// What is left without `other`; never below zero.
+    /// Difference, by resource; never below zero.
     pub fn minus(&self, other: &Resources) -> Resources {
         Resources {
             cpu_milli: self.cpu_milli.saturating_sub(other.cpu_milli),
@@ -101,43 +100,43 @@
     }
 }
 
-/// Who is served first where room is short: lower numbers go before higher ones.
+/// Priority where capacity is short; lower numbers are served first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Priority(pub u8);
 
 impl Priority {
-    /// Before all others.
+    /// Highest priority.
     pub const URGENT: Priority = Priority(0);
-    /// All others, where priorities are not told apart any further.
+    /// Default priority.
     pub const NORMAL: Priority = Priority(1);
-    /// Only with room that nobody else wants.
-    pub const SPARE_ROOM: Priority = Priority(u8::MAX);
+    /// Lowest priority; uses only capacity that is otherwise idle.
+    pub const BEST_EFFORT: Priority = Priority(u8::MAX);
 }
 
-/// Where the tasks of a job may run.
+/// Placement constraints of the tasks of a job.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Constraints {
     /// Label that the worker must have.
     pub label: Option<String>,
-    /// Label of the rack where the data lies; elsewhere a task takes longer.
+    /// Label of the rack that holds the data; tasks run slower elsewhere.
     pub data_rack: Option<String>,
-    /// Most tasks of the job on one worker; 0 for any number.
-    pub most_on_worker: u32,
+    /// Largest number of tasks of the job on one worker; 0 for no limit.
+    pub max_per_worker: u32,
 }
 
-/// A job as its caller sent it: `count` alike tasks.
+/// A job as submitted: `count` identical tasks.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct JobSpec {
-    /// Its id.
+    /// Id of the job.
     pub id: JobId,
-    /// What the worker is given, as the caller wrote it.
+    /// Payload for the worker, as the caller wrote it.
     pub payload: Arc<str>,
     /// Number of tasks.
     pub count: u32,
-    /// What each of them needs.
+    /// Resources of each task.
     pub needs: Resources,
-    /// The caller's rough guess of a task's run time, in microseconds; 0 if none.
+    /// The caller's estimate of a task's run time, in microseconds; 0 if none.
     pub estimate_us: u64,
-    /// Where they may run.
+    /// Placement constraints.
     pub constraints: Constraints,
 }
--- a/src/ephemeral/message.rs
+++ b/src/ephemeral/message.rs
@@ -1,8 +1,7 @@
-//! What entries and gates say to each other.
+//! Messages between entries and gates.
 //!
-//! One connection is one session. Both sides send frames; a frame carries the
-//! messages that were waiting and the sender's monotonic clock, by which the
-//! receiver tells how long the frame was under way ([`super::session`]).
+//! A frame carries the messages queued for one session and the sender's monotonic clock, from
+//! which the receiver estimates the frame's age ([`super::session`]).
 
 use std::cmp::Ordering;
 use std::sync::Arc;
@@ -10,19 +9,19 @@
 use bytes::Bytes;
 use serde::{Deserialize, Serialize};
 
-use crate::ephemeral::frame_counts::{FrameKind, Purpose};
+use crate::ephemeral::frame_counts::{FrameKind, FrameMessage};
 use crate::ephemeral::job::{Priority, Resources, RunId};
 use crate::ephemeral::losses::WorkerLoss;
 use crate::ephemeral::session::SessionId;
 use crate::ephemeral::worker_id::WorkerId;
 use crate::metrics::Metrics;
 
-/// One life of a process.
+/// One incarnation of a process.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct ProcessId {
     /// Name of the process in the deployment.
     pub name: Arc<str>,
-    /// Random number of this life.
+    /// Random number of the incarnation.
     pub incarnation: u64,
 }
 
@@ -35,11 +34,11 @@
     pub messages: Vec<M>,
 }
 
-/// Bytes of a configuration in one message: 5 ms on a link of 25 Mbit/s, by which it
-/// may hold up heartbeats (151 ms apart) and orders on the same connection.
+/// Size of one part of a configuration. Small, because it delays heartbeats and orders on the
+/// same connection.
 const CONFIG_PART_BYTES: usize = 16 << 10;
 
-/// A configuration document as the operator wrote it, passed on unread.
+/// Configuration document as the operator wrote it, forwarded without parsing.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ConfigDocument {
     /// Its version.
@@ -48,12 +47,12 @@
     pub text: Bytes,
 }
 
-/// What an entry lacks of a configuration document.
+/// Request for the rest of a configuration document.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct PartWanted {
+pub struct ConfigPartRequest {
     /// Version of the document.
     pub version: u64,
-    /// Bytes of it that the entry has.
+    /// Bytes already received.
     pub offset: u64,
 }
 
@@ -62,18 +61,18 @@
 pub struct ConfigPart {
     /// Version of the document.
     pub version: u64,
-    /// Where the part begins, in bytes.
+    /// Position of the part in the document, in bytes.
     pub offset: u64,
-    /// Length of the whole document in bytes.
+    /// Length of the whole document, in bytes.
     pub total: u64,
-    /// The part.
+    /// The bytes of the part.
     pub bytes: Bytes,
 }
 
 impl ConfigDocument {
-    /// The part that is wanted, or the first one of this document if it is newer;
-    /// `None` if it is older, or if there is no such part.
-    pub fn part(&self, wanted: PartWanted) -> Option<ConfigPart> {
+    /// The requested part, or the first part if this document is newer than requested; `None`
+    /// if it is older or has no such part.
+    pub fn part(&self, wanted: ConfigPartRequest) -> Option<ConfigPart> {
         let offset = match self.version.cmp(&wanted.version) {
             Ordering::Less => return None,
             Ordering::Equal => usize::try_from(wanted.offset).ok()?,
@@ -96,51 +95,51 @@
 }
 
 impl ConfigPart {
-    /// Counts a part that goes out on a session.
+    /// Counts this part as sent.
     pub fn count_sent(&self, metrics: &Metrics) {
         metrics.count("config_parts_sent", 1);
         metrics.count("config_sent_bytes", self.bytes.len() as u64);
     }
 }
 
-/// From an entry to a gate.
+/// Message from an entry to a gate.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum ToGate {
-    /// Opens a session, or takes up an earlier one of the same life.
+    /// Opens a session, or resumes an earlier one of the same incarnation.
     Hello {
         /// The entry.
         entry: ProcessId,
-        /// Version of its configuration.
+        /// Version of the entry's configuration.
         config: u64,
-        /// Runs that it believes to be at this gate.
+        /// Runs that the entry has assigned to this gate.
         open: Vec<OpenRun>,
     },
-    /// Run this as soon as there is room.
+    /// Starts a run as soon as there is capacity.
     Start(Box<StartOrder>),
-    /// Bar this run, or stop it.
+    /// Stops a run, or prevents its start.
     Stop {
         /// The run.
         run: RunId,
     },
-    /// A worker of this gate was lost under these tasks while the gate was away.
+    /// Tasks under which a worker of this gate was lost while the gate was unreachable.
     Losses(Vec<WorkerLoss>),
-    /// The entry lives.
+    /// Heartbeat.
     Beat,
-    /// Version of the configuration that is in force in the entry now.
+    /// Version of the configuration in force in the entry.
     ConfigVersion(u64),
-    /// The entry lacks part of a newer configuration.
-    WantConfig(PartWanted),
-    /// Part of its configuration, for another entry.
+    /// Requests part of a newer configuration.
+    WantConfig(ConfigPartRequest),
+    /// Part of the entry's configuration, for another entry.
     ConfigPart {
-        /// Session of the gate with that entry.
+        /// The gate's session with that entry.
         asker: SessionId,
         /// The part.
         part: ConfigPart,
     },
 }
 
-impl Purpose for ToGate {
-    fn kind(&self) -> FrameKind {
+impl FrameMessage for ToGate {
+    fn frame_kind(&self) -> FrameKind {
         match self {
             ToGate::Hello { .. } => FrameKind::Hello,
             ToGate::Start(_) | ToGate::Stop { .. } => FrameKind::Order,
@@ -153,95 +152,94 @@
     }
 }
 
-/// A run that an entry had given to a gate before their session broke.
+/// A run that an entry assigned to a gate before their session ended.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct OpenRun {
     /// The run.
     pub run: RunId,
-    /// Life of the gate that it was sent to.
+    /// Incarnation of the gate that it was sent to.
     pub sent_to: u64,
-    /// What it holds while it runs.
+    /// Resources that it holds while it runs.
     pub needs: Resources,
     /// Run time that the entry expects, in microseconds.
     pub expected_us: u64,
 }
 
-/// A task on its way to a gate.
+/// Order to start a run.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct StartOrder {
     /// The run.
     pub run: RunId,
-    /// What the worker is given.
+    /// Payload for the worker.
     pub payload: Arc<str>,
-    /// What it holds while it runs.
+    /// Resources that it holds while it runs.
     pub needs: Resources,
-    /// Longest wait for room, in microseconds; refused afterwards, and at once
-    /// if it is 0.
+    /// Longest wait for capacity, in microseconds, before the run is refused; 0 refuses at
+    /// once.
     pub patience_us: u64,
-    /// Who is served first; orders the queue.
+    /// Priority in the queue.
     pub priority: Priority,
-    /// Whether it leaves room free for runs of a higher priority.
+    /// Whether it leaves capacity free for runs of a higher priority.
     pub leaves_headroom: bool,
-    /// Whether the median of its runs tells how fast the worker is, not their mean.
+    /// Whether worker speed is judged by the median of these runs instead of their mean.
     pub by_median: bool,
-    /// Time until it should begin for its objective, in microseconds; orders the
-    /// queue among runs of the same priority.
+    /// Time until it must begin to meet its objective, in microseconds; orders runs of the same
+    /// priority.
     pub due_us: u64,
-    /// Run time that the entry expects on a worker of usual speed, in microseconds.
+    /// Run time that the entry expects on a worker of normal speed, in microseconds.
     pub expected_us: u64,
-    /// Whether it may be stopped for being slow; one that was moved before may just
-    /// be longer than its caller guessed.
+    /// Whether it may be stopped for being slow and moved to another gate.
     pub movable: bool,
-    /// Whether a worker was lost under its task, or may have been.
+    /// Whether a worker was lost, or may have been lost, under its task.
     pub implicated: bool,
-    /// Place in the entry's count of starts in this session.
+    /// Sequence number of the start in this session.
     pub number: u64,
 }
 
-/// From a gate to an entry.
+/// Message from a gate to an entry.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum ToEntry {
-    /// Answers the entry's hello.
+    /// Answer to the entry's hello.
     Hello {
         /// The gate.
         gate: ProcessId,
-        /// Newest configuration that one of its entries has.
+        /// Newest configuration version among the gate's entries.
         config: u64,
     },
-    /// The gate's state now; also its sign of life.
+    /// Current state of the gate; also serves as its heartbeat.
     Load(GateLoad),
-    /// A run ended, or never began.
+    /// A run ended, or will never begin.
     Ended {
         /// The run.
         run: RunId,
-        /// How.
+        /// How it ended.
         end: RunEnd,
         /// Its run time in microseconds; 0 if it never began.
         run_us: u64,
     },
-    /// The worker was lost under these tasks, whoever had sent them; told before the
-    /// ends of their runs.
+    /// Tasks under which the worker was lost, from all entries; sent before the ends of their
+    /// runs.
     Losses(Vec<WorkerLoss>),
-    /// The worker has begun the run.
+    /// The worker began the run.
     Began {
         /// The run.
         run: RunId,
     },
     /// Another entry has this version of the configuration.
     ConfigVersion(u64),
-    /// Another entry lacks part of this entry's configuration.
+    /// Another entry requests part of this entry's configuration.
     WantConfig {
-        /// Session of the gate with that entry.
+        /// The gate's session with that entry.
         asker: SessionId,
-        /// What it lacks.
-        wanted: PartWanted,
+        /// The requested part.
+        wanted: ConfigPartRequest,
     },
-    /// Part of a newer configuration, as wanted.
+    /// Part of a newer configuration, as requested.
     ConfigPart(ConfigPart),
 }
 
-impl Purpose for ToEntry {
-    fn kind(&self) -> FrameKind {
+impl FrameMessage for ToEntry {
+    fn frame_kind(&self) -> FrameKind {
         match self {
             ToEntry::Hello { .. } => FrameKind::Hello,
             ToEntry::Load(_) => FrameKind::Load,
@@ -258,19 +256,19 @@
 pub enum RunEnd {
     /// The worker finished it.
     Done,
-    /// The worker reports a failure.
+    /// The worker reported a failure.
     Failed,
-    /// It began and was stopped, or its lease ran out.
+    /// It was stopped after it began, or its lease expired.
     Stopped,
-    /// It did not get on, and was stopped for that.
+    /// It was stopped because it made no progress.
     Stalled,
     /// It never began here and never will.
     NotRun(NotRunReason),
 }
 
 impl RunEnd {
-    /// Its name among the metrics.
-    pub fn name(self) -> &'static str {
+    /// Name in metrics.
+    pub fn metric_name(self) -> &'static str {
         match self {
             RunEnd::Done => "done",
             RunEnd::Failed => "failed",
@@ -284,32 +282,32 @@
 /// Why a run never began.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum NotRunReason {
-    /// No room in time.
+    /// Capacity was not available in time.
     NoRoom,
-    /// The worker is leaving, or the gate is.
+    /// The worker or the gate is shutting down.
     Leaving,
-    /// Operators have evacuated the gate's failure domain.
+    /// The gate's failure domain is evacuated.
     Evacuated,
-    /// The gate has no worker now.
+    /// The gate has no worker.
     NoWorker,
-    /// The entry withdrew it.
+    /// The entry withdrew the order.
     Withdrawn,
-    /// The order did not reach the gate: its connection went dead.
+    /// The order did not reach the gate, because its connection failed.
     Lost,
-    /// The order did not reach the worker, which bars it now.
+    /// The worker did not answer the order and will not start the run any more.
     Unanswered,
-    /// The worker turned it down.
+    /// The worker rejected the order.
     Rejected,
-    /// A worker was lost under its task, and so one was under another task here: together
-    /// they would tell nothing.
+    /// This task and another one here both had a worker lost under them; they must not share a
+    /// worker, or a further loss could not be attributed.
     Apart,
-    /// Another run of the task is not over here; it must not run elsewhere either.
+    /// Another run of the task is still open here; the task must not run elsewhere either.
     AlreadyHere,
 }
 
 impl NotRunReason {
-    /// Whether the worker may have heard of the run; its number is used up then.
-    pub fn reached_worker(self) -> bool {
+    /// Whether the worker may have received the run, which uses up its number.
+    pub fn may_have_reached_worker(self) -> bool {
         matches!(self, NotRunReason::Unanswered | NotRunReason::Rejected)
     }
 }
@@ -319,27 +317,27 @@
 pub struct GateLoad {
     /// The worker, if there is one.
     pub worker: Option<Arc<WorkerTraits>>,
-    /// Room that nobody holds.
+    /// Unallocated capacity.
     pub free: Resources,
-    /// What waits ahead of a new run, by priority: the first is for the most urgent, each
-    /// holds for all from its own to the next. Empty if nothing waits and nothing is known.
+    /// Load ahead of a new run, by priority: the first entry is for the most urgent, and each
+    /// holds up to the next. Empty if nothing is queued or nothing is known.
     pub queues: Vec<QueueLoad>,
     /// Mean run time of recent runs, in microseconds; 0 if unknown.
     pub mean_run_us: u64,
-    /// Run times against what entries expected, in percent.
+    /// Actual run times relative to expected ones, in percent.
     pub slowness_percent: u32,
-    /// Whether recent runs fail or stall; it gets one run at a time.
+    /// Whether recent runs failed or stalled; such a gate gets one run at a time.
     pub suspect: bool,
     /// Whether it takes no new work.
     pub leaving: bool,
-    /// Whether that is because its failure domain is evacuated.
+    /// Whether it takes no new work because its failure domain is evacuated.
     pub evacuated: bool,
-    /// Last start of this entry that is part of this load.
+    /// Sequence number of this entry's last start that is included in this load.
     pub seen: u64,
 }
 
 impl GateLoad {
-    /// What waits ahead of a new run.
+    /// Load ahead of a new run of this priority.
     pub fn queue_ahead(&self, priority: Priority) -> QueueLoad {
         let ahead = self.queues.iter().rev();
         let mut ahead = ahead.filter(|queue| queue.priority <= priority);
@@ -347,20 +345,20 @@
     }
 }
 
-/// What waits for room at a gate.
+/// Load queued at a gate.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct QueueLoad {
-    /// Most urgent run that this waits ahead of.
+    /// Most urgent priority that this load is ahead of.
     pub priority: Priority,
-    /// Processor time wanted by runs that wait, and headroom that a new one leaves free, in
+    /// Processor time wanted by queued runs, plus the headroom that a new run leaves free, in
     /// thousandths of a core.
     pub cpu_milli: u64,
-    /// Time until the next run of usual size finds room, in microseconds.
+    /// Time until the next run of average size gets capacity, in microseconds.
     pub wait_us: u64,
 }
 
 impl Default for QueueLoad {
-    /// Nothing waits.
+    /// Empty queue.
     fn default() -> QueueLoad {
         QueueLoad {
             priority: Priority::URGENT,
@@ -370,18 +368,18 @@
     }
 }
 
-/// What a worker is, for placement.
+/// Properties of a worker that matter for placement.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WorkerTraits {
-    /// The worker's life.
+    /// Incarnation of the worker.
     pub id: WorkerId,
-    /// Service that it runs tasks of.
+    /// Service whose tasks it runs.
     pub service: String,
-    /// What it has now.
+    /// Current capacity.
     pub capacity: Resources,
-    /// Most that this life has had of each: its capacity may shrink and grow again.
+    /// Largest capacity that this incarnation has had, by resource.
     #[serde(default)]
     pub largest: Resources,
-    /// Its kind and its rack.
+    /// Its kind and rack.
     pub labels: Vec<String>,
 }
--- a/src/ephemeral/mod.rs
+++ b/src/ephemeral/mod.rs
@@ -1,27 +1,24 @@
-//! Jobs that nobody keeps: owned by the entry that took them, in its memory.
+//! Ephemeral jobs: held in the memory of the entry that accepted them, never persisted.
 //!
-//! A job of this kind is answered on the connection that brought it and is
-//! forgotten afterwards; a caller that hears nothing sends it again, to any
-//! entry. No write to the store is on its path. What keeps two runs of one task
-//! apart is time: a run lives only while the session between its owner and the
-//! gate beside the worker is fresh, and the worker's lease is shorter than what
-//! is left of the caller's pause before it sends again ([`limits`]).
+//! A job is answered on the connection that submitted it and then forgotten. A caller without
+//! an answer resends the job, to any entry. Submitting a job writes nothing to the store. Two
+//! runs of one task are kept apart by time limits: a run lasts only while the session between
+//! its owner and the gate beside the worker is alive, and the worker's lease ends before the
+//! caller resends ([`limits`]).
 //!
-//! - [`job`], [`routes`]: what is asked for, and what the configuration allows.
+//! - [`job`], [`routes`]: job specifications, and what the configuration allows.
 //! - [`dispatcher`]: the entry's decisions; [`placement`] chooses gates.
 //! - [`gate`]: the decisions beside a worker; [`room`] counts its capacity.
-//! - [`evacuations`]: failure domains in which nothing more is started.
-//! - [`run_spread`]: how run times of one kind of jobs spread.
-//! - [`scheduling`]: which decisions under load the configuration turns on.
-//! - [`losses`]: which tasks workers were lost under, and when one is given up.
-//! - [`subset`]: which gates an entry has sessions with.
-//! - [`message`], [`session`]: what entries and gates say, and how it travels;
-//!   [`suspension`]: what a process does that stood still.
-//!   [`frame_counts`]: how many frames of which kind.
-//! - [`directory`]: how processes find one another through the store;
-//!   [`follower`]: keys of the store, followed; [`backoff`]: how often what is
-//!   away is tried.
-//! - [`entry`], [`agent`]: the loops around the decisions.
+//! - [`evacuations`]: failure domains in which no runs are started.
+//! - [`run_spread`]: distribution of run times of one kind of job.
+//! - [`scheduling`]: scheduling features that the configuration enables.
+//! - [`losses`]: worker losses by task, and when a task is abandoned.
+//! - [`subset`]: the gates that an entry has sessions with.
+//! - [`message`], [`session`]: messages between entries and gates, and their transport;
+//!   [`suspension`] detects a suspended process, [`frame_counts`] counts frames by kind.
+//! - [`directory`]: discovery through the store; [`follower`] follows keys of the store,
+//!   [`backoff`] sets the pauses between retries.
+//! - [`entry`], [`agent`]: the event loops around the decisions.
 
 pub mod agent;
 mod answer_times;
--- a/src/ephemeral/placement.rs
+++ b/src/ephemeral/placement.rs
@@ -171,8 +171,8 @@
     /// order after a pause gives it time to answer.
     pub fn is_gone(&self, now: Moment, limits: &Limits) -> bool {
         let silence = match self.beats_fast(now, limits) {
-            true => limits.silence,
-            false => limits.idle_silence,
+            true => limits.peer_timeout,
+            false => limits.idle_peer_timeout,
         };
         now.mono_us > self.heard_us.max(self.busy_since_us) + micros(silence)
     }
@@ -182,8 +182,8 @@
     /// Counted from `listening_us` at the earliest, since when this process reads.
     pub fn is_overdue(&self, now: Moment, limits: &Limits, listening_us: u64) -> bool {
         let quiet = match self.beats_fast(now, limits) {
-            true => limits.quiet,
-            false => limits.idle_beat + limits.quiet,
+            true => limits.reconnect_after,
+            false => limits.idle_heartbeat_interval + limits.reconnect_after,
         };
         let since_us = listening_us.max(self.connected_us);
         let heard_us = self.heard_us.max(since_us).max(self.busy_since_us);
@@ -345,7 +345,7 @@
 
     /// Whether `worker` could ever run it: what has shrunk may grow again.
     pub fn could_fit(&self, worker: &WorkerTraits) -> bool {
-        let largest = worker.capacity.largest_of_each(&worker.largest);
+        let largest = worker.capacity.max_of_each(&worker.largest);
         self.may_go_to(worker) && self.needs.fits_in(&largest)
     }
 
--- a/src/ephemeral/routes.rs
+++ b/src/ephemeral/routes.rs
@@ -35,7 +35,7 @@
         match self.priority {
             0 => Priority::URGENT,
             priority if scheduling.priority_classes => {
-                Priority(priority.min(Priority::SPARE_ROOM.0 - 1))
+                Priority(priority.min(Priority::BEST_EFFORT.0 - 1))
             }
             _ => Priority::NORMAL,
         }
--- a/src/ephemeral/session.rs
+++ b/src/ephemeral/session.rs
@@ -1,13 +1,11 @@
-//! One connection between an entry and a gate: the session.
+//! Sessions: the connections between entries and gates.
 //!
-//! Frames are length-prefixed MessagePack over TCP. gRPC between these two was
-//! weighed and left (docs/design/platform.md): the end of a session has to be
-//! the end of the connection, at once and on both sides, and a frame costs one
-//! read and one write on a small share of a core.
+//! Frames are length-prefixed MessagePack over TCP. The end of the connection ends the session
+//! on both sides.
 //!
-//! A frame that was under way for too long is not acted on, because its sender
-//! may have given the session up meanwhile. Its age is told from the sender's
-//! monotonic clock, against the quickest frame of the session.
+//! A frame that arrives too late is discarded, because its sender may have given up the session
+//! meanwhile. Its age is estimated from the sender's monotonic clock, relative to the fastest
+//! frame of the session.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -23,24 +21,24 @@
 use tokio_stream::StreamExt;
 use tokio_util::codec::{Encoder, FramedRead, LengthDelimitedCodec};
 
-use crate::ephemeral::frame_counts::{FrameCounts, Purpose};
+use crate::ephemeral::frame_counts::{FrameCounts, FrameMessage};
 use crate::ephemeral::message::Frame;
 use crate::metrics::Metrics;
 use crate::time::{Moment, Timer};
 
-/// Largest frame that is taken; starts with large payloads may share one.
-const FRAME_BYTES: usize = 2 << 20;
-/// Frames that may wait for a slow peer before the session is closed.
-const FRAMES_WAITING: usize = 256;
+/// Largest accepted frame; several starts with large payloads may share one.
+const MAX_FRAME_BYTES: usize = 2 << 20;
+/// Frames queued for a slow peer before the session is closed.
+const MAX_QUEUED_FRAMES: usize = 256;
 
-/// Names a session within this process.
+/// Id of a session within this process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct SessionId(pub u64);
 
-/// What happens on a session.
+/// Event on a session.
 #[derive(Debug)]
 pub enum SessionEvent<M> {
-    /// A frame came.
+    /// A frame arrived.
     Frame {
         /// The session.
         session: SessionId,
@@ -53,104 +51,104 @@
 
 /// Why a process ended a session.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum SessionLoss {
-    /// A frame had been under way for too long.
+pub enum SessionEndCause {
+    /// A frame exceeded the maximum age.
     LateFrame,
     /// The connection ended.
     Closed,
-    /// Its peer was silent, or has a newer session.
+    /// The peer timed out, or opened a newer session.
     GivenUp,
-    /// Its peer did not take the frames that waited.
+    /// A frame could not be queued, as the peer reads too slowly.
     Stuck,
-    /// It is not needed any more.
+    /// The session is no longer needed.
     Surplus,
 }
 
-impl SessionLoss {
-    /// Counts a session that ended so.
+impl SessionEndCause {
+    /// Counts a session that ended for this cause.
     pub fn count(self, metrics: &Metrics) {
         let cause = match self {
-            SessionLoss::LateFrame => "late_frame",
-            SessionLoss::Closed => "closed",
-            SessionLoss::GivenUp => "given_up",
-            SessionLoss::Stuck => "stuck",
-            SessionLoss::Surplus => "surplus",
+            SessionEndCause::LateFrame => "late_frame",
+            SessionEndCause::Closed => "closed",
+            SessionEndCause::GivenUp => "given_up",
+            SessionEndCause::Stuck => "stuck",
+            SessionEndCause::Surplus => "surplus",
         };
         metrics.count(&format!("sessions_ended.{cause}"), 1);
     }
 }
 
-/// Tells how long frames were under way.
+/// Estimates the transit time of frames from the smallest clock offset seen.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct FrameClock {
-    least_offset_us: Option<i64>,
+    min_offset_us: Option<i64>,
 }
 
 impl FrameClock {
-    /// Age in microseconds of a frame sent at `sent_us` on its sender's clock.
+    /// Age in microseconds of a frame sent at `sent_us` on the sender's clock.
     pub fn age_us(&mut self, now: Moment, sent_us: u64) -> u64 {
         let offset_us = now.mono_us as i64 - sent_us as i64;
-        let least_us = self.least_offset_us.unwrap_or(offset_us).min(offset_us);
-        self.least_offset_us = Some(least_us);
-        (offset_us - least_us) as u64
+        let min_us = self.min_offset_us.unwrap_or(offset_us).min(offset_us);
+        self.min_offset_us = Some(min_us);
+        (offset_us - min_us) as u64
     }
 }
 
-/// Hears what happens on sessions.
-type Tell<M> = Arc<dyn Fn(SessionEvent<M>) -> bool + Send + Sync>;
+/// Receives session events; returns `false` once the receiver is gone.
+type EventSink<M> = Arc<dyn Fn(SessionEvent<M>) -> bool + Send + Sync>;
 
-struct Open<S> {
+struct OpenSession<S> {
     frames: Sender<Vec<S>>,
     clock: FrameClock,
     outbox: Vec<S>,
 }
 
-/// The open sessions of a process; `S` goes out, `R` comes in.
+/// Open sessions of a process; sends messages of type `S` and receives `R`.
 pub struct Sessions<S, R> {
     timer: Timer,
-    tell: Tell<R>,
-    open: HashMap<SessionId, Open<S>>,
+    on_event: EventSink<R>,
+    open: HashMap<SessionId, OpenSession<S>>,
     counts: FrameCounts,
-    last: u64,
+    last_id: u64,
 }
 
 impl<S, R> Sessions<S, R>
 where
-    S: Purpose + Serialize + Send + 'static,
+    S: FrameMessage + Serialize + Send + 'static,
     R: DeserializeOwned + Send + 'static,
 {
-    /// No sessions; `tell` hears what happens on later ones, and says whether it
-    /// still listens.
+    /// Creates an empty set; events go to `on_event`, which returns `false` once the receiver
+    /// is gone.
     pub fn new(
         timer: Timer,
-        tell: impl Fn(SessionEvent<R>) -> bool + Send + Sync + 'static,
+        on_event: impl Fn(SessionEvent<R>) -> bool + Send + Sync + 'static,
     ) -> Sessions<S, R> {
         Sessions {
             timer,
-            tell: Arc::new(tell),
+            on_event: Arc::new(on_event),
             open: HashMap::new(),
             counts: FrameCounts::default(),
-            last: 0,
+            last_id: 0,
         }
     }
 
     /// Opens a session on a connection.
     pub fn open(&mut self, stream: TcpStream) -> SessionId {
-        self.last += 1;
-        let session = SessionId(self.last);
-        let (tx, rx) = channel(FRAMES_WAITING);
-        let open = Open {
+        self.last_id += 1;
+        let session = SessionId(self.last_id);
+        let (tx, rx) = channel(MAX_QUEUED_FRAMES);
+        let open = OpenSession {
             frames: tx,
             clock: FrameClock::default(),
             outbox: Vec::new(),
         };
         self.open.insert(session, open);
-        let (timer, tell) = (self.timer.clone(), self.tell.clone());
-        tokio::spawn(async move { carry(session, stream, rx, timer, tell).await });
+        let (timer, on_event) = (self.timer.clone(), self.on_event.clone());
+        tokio::spawn(async move { run_connection(session, stream, rx, timer, on_event).await });
         session
     }
 
-    /// Closes a session; bytes that did not reach the peer are dropped.
+    /// Closes a session and drops the bytes that were not sent yet.
     pub fn close(&mut self, session: SessionId) {
         self.open.remove(&session);
     }
@@ -160,26 +158,25 @@
         self.open.contains_key(&session)
     }
 
-    /// How long a frame was under way, in microseconds.
+    /// Age of a frame of this session, in microseconds.
     pub fn age_us(&mut self, now: Moment, session: SessionId, sent_us: u64) -> u64 {
         let open = self.open.get_mut(&session);
         open.map_or(0, |open| open.clock.age_us(now, sent_us))
     }
 
-    /// Puts a message into the next frame of a session.
+    /// Appends a message to the next frame of a session.
     pub fn send(&mut self, session: SessionId, message: S) {
         if let Some(open) = self.open.get_mut(&session) {
             open.outbox.push(message);
         }
     }
 
-    /// Adds the frames that were sent to the figures.
-    pub fn show_counts(&mut self, metrics: &Metrics) {
-        self.counts.show(metrics);
+    /// Adds the frames sent since the last call to the metrics.
+    pub fn report_frame_counts(&mut self, metrics: &Metrics) {
+        self.counts.report(metrics);
     }
 
-    /// Sends what collected; returns the sessions whose peers do not keep up,
-    /// which are closed.
+    /// Queues the collected messages; closes and returns the sessions that cannot take them.
     pub fn flush(&mut self) -> Vec<SessionId> {
         let mut stuck = Vec::new();
         for (session, open) in &mut self.open {
@@ -187,7 +184,7 @@
                 continue;
             }
             let messages = std::mem::take(&mut open.outbox);
-            self.counts.note(&messages);
+            self.counts.record(&messages);
             if open.frames.try_send(messages).is_err() {
                 stuck.push(*session);
             }
@@ -199,28 +196,28 @@
     }
 }
 
-/// Connects to a gate, for at most `limit`.
-pub async fn dial(timer: &Timer, addr: SocketAddr, limit: Duration) -> Option<TcpStream> {
-    let dialing = timer.within(limit, TcpStream::connect(addr)).await;
-    dialing.and_then(Result::ok)
+/// Connects to a gate within `timeout`.
+pub async fn connect(timer: &Timer, addr: SocketAddr, timeout: Duration) -> Option<TcpStream> {
+    let connecting = timer.within(timeout, TcpStream::connect(addr)).await;
+    connecting.and_then(Result::ok)
 }
 
-/// Carries frames both ways until either side ends.
-async fn carry<S, R>(
+/// Transfers frames both ways until either side ends.
+async fn run_connection<S, R>(
     session: SessionId,
     stream: TcpStream,
     mut outgoing: Receiver<Vec<S>>,
     timer: Timer,
-    tell: Tell<R>,
+    on_event: EventSink<R>,
 ) where
     S: Serialize,
     R: DeserializeOwned,
 {
     let _ = stream.set_nodelay(true);
-    // A closed session must not deliver anything later.
+    // Resets the connection on close, so that nothing is delivered afterwards.
     let _ = stream.set_zero_linger();
     let mut codec = LengthDelimitedCodec::builder()
-        .max_frame_length(FRAME_BYTES)
+        .max_frame_length(MAX_FRAME_BYTES)
         .new_codec();
     let (read_half, mut write_half) = stream.into_split();
     let mut source = FramedRead::new(read_half, codec.clone());
@@ -247,7 +244,7 @@
             let Ok(frame) = rmp_serde::from_slice::<Frame<R>>(&bytes) else {
                 break;
             };
-            if !tell(SessionEvent::Frame { session, frame }) {
+            if !on_event(SessionEvent::Frame { session, frame }) {
                 break;
             }
         }
@@ -256,5 +253,5 @@
         () = writing => {}
         () = reading => {}
     }
-    tell(SessionEvent::Closed(session));
+    on_event(SessionEvent::Closed(session));
 }
--- a/src/ephemeral/subset.rs
+++ b/src/ephemeral/subset.rs
@@ -18,7 +18,7 @@
 
 use xxhash_rust::xxh3::xxh3_64;
 
-use crate::ephemeral::directory::{GateChanges, MISSING};
+use crate::ephemeral::directory::{GateChanges, MISSING_RECORD_GRACE};
 use crate::ephemeral::job::JobSpec;
 use crate::ephemeral::message::WorkerTraits;
 use crate::ephemeral::placement::Want;
@@ -222,7 +222,7 @@
         self.demands.retain(|_, demand| !demand.is_past(now));
         let gone = self.candidates.extract_if(.., |_, candidate| {
             let missing = candidate.missing_us;
-            missing.is_some_and(|since_us| now.mono_us > since_us + micros(MISSING))
+            missing.is_some_and(|since_us| now.mono_us > since_us + micros(MISSING_RECORD_GRACE))
         });
         for (_, candidate) in gone {
             self.away.remove(&candidate.name);
--- a/tests/ephemeral_config_exchange.rs
+++ b/tests/ephemeral_config_exchange.rs
@@ -8,7 +8,7 @@
 use winghold::ephemeral::dispatcher::DispatchAction;
 use winghold::ephemeral::gate::GateAction;
 use winghold::ephemeral::message::{
-    ConfigDocument, ConfigPart, GateLoad, PartWanted, ToEntry, ToGate,
+    ConfigDocument, ConfigPart, ConfigPartRequest, GateLoad, ToEntry, ToGate,
 };
 use winghold::ephemeral::session::SessionId;
 
@@ -23,12 +23,12 @@
     }
 }
 
-fn first(version: u64) -> PartWanted {
-    PartWanted { version, offset: 0 }
+fn first(version: u64) -> ConfigPartRequest {
+    ConfigPartRequest { version, offset: 0 }
 }
 
 /// What the entry asked for since the last call, and on which session.
-fn asked(bench: &mut Bench) -> Vec<(SessionId, PartWanted)> {
+fn asked(bench: &mut Bench) -> Vec<(SessionId, ConfigPartRequest)> {
     let asked = bench.actions.drain(..).filter_map(|action| match action {
         DispatchAction::Send {
             session,
@@ -183,7 +183,7 @@
 }
 
 /// What the entry asked for last.
-fn last_asked(bench: &Bench) -> Option<PartWanted> {
+fn last_asked(bench: &Bench) -> Option<ConfigPartRequest> {
     let asked = bench.actions.iter().filter_map(|action| match action {
         DispatchAction::Send {
             message: ToGate::WantConfig(wanted),
@@ -230,7 +230,7 @@
         let wanted = first(version);
         bench.tell(1, ToEntry::WantConfig { asker, wanted });
     }
-    let beyond = PartWanted {
+    let beyond = ConfigPartRequest {
         version: 5,
         offset: BYTES as u64,
     };
--- a/tests/ephemeral_dead_connections.rs
+++ b/tests/ephemeral_dead_connections.rs
@@ -51,8 +51,8 @@
     bench.pass(1);
     bench.submit(1, job(1, 1), 1);
     bench.load(1, full(0));
-    let quiet_ms = limits().quiet.as_millis() as u64;
-    assert!(quiet_ms * 2 < limits().silence.as_millis() as u64);
+    let quiet_ms = limits().reconnect_after.as_millis() as u64;
+    assert!(quiet_ms * 2 < limits().peer_timeout.as_millis() as u64);
     for _ in 0..quiet_ms / 10 + 2 {
         bench.pass(10);
     }
@@ -63,7 +63,7 @@
 fn a_gate_without_work_is_doubted_after_two_heartbeats_of_its_own_pace() {
     let mut bench = Bench::new(1);
     bench.pass(1);
-    let beat_ms = limits().idle_beat.as_millis() as u64;
+    let beat_ms = limits().idle_heartbeat_interval.as_millis() as u64;
     for _ in 0..beat_ms / 10 {
         bench.pass(10);
     }
@@ -77,7 +77,7 @@
 #[test]
 fn the_first_order_after_a_pause_gives_the_gate_time_to_answer() {
     let mut bench = Bench::new(1);
-    let silence_ms = limits().silence.as_millis() as u64;
+    let silence_ms = limits().peer_timeout.as_millis() as u64;
     for _ in 0..silence_ms * 2 / 10 {
         bench.pass(10);
     }
--- a/tests/ephemeral_deferral.rs
+++ b/tests/ephemeral_deferral.rs
@@ -65,7 +65,7 @@
     let order = last_order(&bench);
     assert_eq!(
         (order.priority, order.patience_us),
-        (Priority::SPARE_ROOM, 0)
+        (Priority::BEST_EFFORT, 0)
     );
     bench.ended(bench.starts[0], RunEnd::Done);
     assert_eq!(bench.codes(), [ResultCode::Complete]);
--- a/tests/ephemeral_dials.rs
+++ b/tests/ephemeral_dials.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use winghold::ephemeral::directory::{GateChanges, GateRecord};
-use winghold::ephemeral::entry::dials::Dials;
+use winghold::ephemeral::entry::dials::Dialer;
 use winghold::ephemeral::session::SessionId;
 use winghold::time::{Moment, micros};
 
@@ -29,17 +29,17 @@
 
 /// Starts of attempts over `span` to a machine that says nothing.
 fn attempts_in_silence(span: Duration) -> Vec<u64> {
-    let mut dials = Dials::default();
-    dials.know(at(0), vec![record(1)].into());
+    let mut dialer = Dialer::default();
+    dialer.update_records(at(0), vec![record(1)].into());
     let (mut starts, mut pending) = (Vec::new(), None);
     for now_us in (0..micros(span)).step_by(TURN_US as usize) {
         if pending.is_some_and(|until_us| until_us <= now_us) {
-            dials.failed("g");
+            dialer.attempt_failed("g");
             pending = None;
         }
-        for attempt in dials.attempts(at(now_us), |_| true) {
+        for attempt in dialer.due_attempts(at(now_us), |_| true) {
             starts.push(now_us);
-            pending = Some(now_us + micros(attempt.limit));
+            pending = Some(now_us + micros(attempt.timeout));
         }
     }
     starts
@@ -62,39 +62,39 @@
 
 #[test]
 fn a_refused_attempt_is_not_repeated_at_once() {
-    let mut dials = Dials::default();
-    dials.know(at(0), vec![record(1)].into());
-    assert_eq!(dials.attempts(at(0), |_| true).len(), 1);
-    dials.failed("g");
-    assert!(dials.attempts(at(10 * MS), |_| true).is_empty());
-    assert_eq!(dials.attempts(at(40 * MS), |_| true).len(), 1);
+    let mut dialer = Dialer::default();
+    dialer.update_records(at(0), vec![record(1)].into());
+    assert_eq!(dialer.due_attempts(at(0), |_| true).len(), 1);
+    dialer.attempt_failed("g");
+    assert!(dialer.due_attempts(at(10 * MS), |_| true).is_empty());
+    assert_eq!(dialer.due_attempts(at(40 * MS), |_| true).len(), 1);
 }
 
 #[test]
 fn a_session_that_is_lost_is_replaced_at_once() {
-    let mut dials = Dials::default();
-    dials.know(at(0), vec![record(1)].into());
-    assert_eq!(dials.attempts(at(0), |_| true).len(), 1);
-    assert_eq!(dials.connected("g", || SessionId(7)), Some(SessionId(7)));
-    assert!(dials.attempts(at(500 * MS), |_| true).is_empty());
-    dials.lost(SessionId(7));
-    assert_eq!(dials.attempts(at(500 * MS), |_| true).len(), 1);
+    let mut dialer = Dialer::default();
+    dialer.update_records(at(0), vec![record(1)].into());
+    assert_eq!(dialer.due_attempts(at(0), |_| true).len(), 1);
+    assert_eq!(dialer.connected("g", || SessionId(7)), Some(SessionId(7)));
+    assert!(dialer.due_attempts(at(500 * MS), |_| true).is_empty());
+    dialer.session_closed(SessionId(7));
+    assert_eq!(dialer.due_attempts(at(500 * MS), |_| true).len(), 1);
 }
 
 #[test]
 fn a_gate_that_moved_is_dialed_there_without_delay() {
-    let mut dials = Dials::default();
-    dials.know(at(0), vec![record(1)].into());
+    let mut dialer = Dialer::default();
+    dialer.update_records(at(0), vec![record(1)].into());
     for turn in 0..200 {
-        if !dials.attempts(at(turn * TURN_US), |_| true).is_empty() {
-            dials.failed("g");
+        if !dialer.due_attempts(at(turn * TURN_US), |_| true).is_empty() {
+            dialer.attempt_failed("g");
         }
     }
-    dials.know(at(2_000 * MS), vec![record(2)].into());
-    let due = (200..240).find(|turn| !dials.attempts(at(turn * TURN_US), |_| true).is_empty());
+    dialer.update_records(at(2_000 * MS), vec![record(2)].into());
+    let due = (200..240).find(|turn| !dialer.due_attempts(at(turn * TURN_US), |_| true).is_empty());
     let again = due.map(|turn| {
-        dials.failed("g");
-        (turn + 1..240).find(|turn| !dials.attempts(at(turn * TURN_US), |_| true).is_empty())
+        dialer.attempt_failed("g");
+        (turn + 1..240).find(|turn| !dialer.due_attempts(at(turn * TURN_US), |_| true).is_empty())
     });
     let (first, second) = (due.unwrap(), again.flatten().unwrap());
     assert_eq!(first, 200);
@@ -103,20 +103,20 @@
 
 #[test]
 fn a_gate_without_a_record_is_forgotten_unless_its_session_lives() {
-    let mut dials = Dials::default();
-    dials.know(at(0), vec![record(1)].into());
-    assert_eq!(dials.attempts(at(0), |_| true).len(), 1);
-    dials.connected("g", || SessionId(1));
+    let mut dialer = Dialer::default();
+    dialer.update_records(at(0), vec![record(1)].into());
+    assert_eq!(dialer.due_attempts(at(0), |_| true).len(), 1);
+    dialer.connected("g", || SessionId(1));
     let removed = GateChanges {
         removed: vec!["g".into()],
         ..GateChanges::default()
     };
-    dials.know(at(100 * MS), removed);
-    assert!(dials.attempts(at(5_000 * MS), |_| true).is_empty());
-    dials.lost(SessionId(1));
+    dialer.update_records(at(100 * MS), removed);
+    assert!(dialer.due_attempts(at(5_000 * MS), |_| true).is_empty());
+    dialer.session_closed(SessionId(1));
     assert!(
-        dials.attempts(at(5_100 * MS), |_| true).is_empty(),
+        dialer.due_attempts(at(5_100 * MS), |_| true).is_empty(),
         "forgotten"
     );
-    assert_eq!(dials.connected("g", || SessionId(2)), None);
+    assert_eq!(dialer.connected("g", || SessionId(2)), None);
 }
--- a/tests/ephemeral_directory.rs
+++ b/tests/ephemeral_directory.rs
@@ -7,7 +7,7 @@
 
 use tokio::sync::mpsc::unbounded_channel;
 use tokio::sync::watch;
-use winghold::ephemeral::directory::{self, GateChanges, GateRecord, Published, WorkerRecord};
+use winghold::ephemeral::directory::{self, GateChanges, GateRecord, PublishedState, WorkerRecord};
 use winghold::ephemeral::follower::Follower;
 use winghold::ephemeral::message::WorkerTraits;
 use winghold::logging;
@@ -182,15 +182,15 @@
 }
 
 /// What a gate with this worker publishes.
-fn published(id: &str) -> Published {
-    Published {
+fn published(id: &str) -> PublishedState {
+    PublishedState {
         worker: Some(worker(id)),
-        ..Published::default()
+        ..PublishedState::default()
     }
 }
 
 /// A gate that publishes its record; the sender changes it.
-fn publish(store: &FakeStore) -> watch::Sender<Published> {
+fn publish(store: &FakeStore) -> watch::Sender<PublishedState> {
     let (tx, rx) = watch::channel(published("w-1"));
     let record = gate_record("g");
     let store = Arc::new(store.clone());
@@ -200,10 +200,10 @@
 }
 
 /// The same gate starts again, and publishes what its record said.
-async fn publish_again(store: &FakeStore) -> watch::Sender<Published> {
+async fn publish_again(store: &FakeStore) -> watch::Sender<PublishedState> {
     let store: Arc<dyn Store> = Arc::new(store.clone());
     let (timer, log) = (Timer::on_runtime_clock(), logging::discard());
-    let recalled = directory::recall(&*store, "g", &log).await;
+    let recalled = directory::read_previous(&*store, "g", &log).await;
     let (published, before) = recalled.expect("a record");
     let (tx, rx) = watch::channel(published);
     let record = gate_record("g");
--- a/tests/ephemeral_dispatcher.rs
+++ b/tests/ephemeral_dispatcher.rs
@@ -27,7 +27,7 @@
     let mut bench = Bench::new(2);
     let spec = JobSpec {
         constraints: Constraints {
-            most_on_worker: 1,
+            max_per_worker: 1,
             ..Constraints::default()
         },
         needs: cpu(100),
--- a/tests/ephemeral_entry.rs
+++ b/tests/ephemeral_entry.rs
@@ -70,7 +70,7 @@
 fn entry_with(store: Arc<LateStore>) -> EntryHandle {
     let second = Duration::from_secs(1);
     let (entry, handle) = Entry::new(EntryParts {
-        me: ProcessId {
+        process: ProcessId {
             name: "e".into(),
             incarnation: 1,
         },
@@ -90,14 +90,14 @@
 async fn a_caller_waits_a_moment_for_the_first_configuration() {
     let handle = entry_with(LateStore::new(Duration::from_millis(15)));
     assert_eq!(handle.table().version, 0);
-    assert_eq!(handle.table_soon().await.version, 7);
+    assert_eq!(handle.wait_for_table().await.version, 7);
 }
 
 #[tokio::test(start_paused = true)]
 async fn a_caller_is_not_held_up_by_a_store_that_is_away() {
     let handle = entry_with(LateStore::new(Duration::from_secs(60)));
     let asked = tokio::time::Instant::now();
-    assert_eq!(handle.table_soon().await.version, 0);
+    assert_eq!(handle.wait_for_table().await.version, 0);
     assert!(asked.elapsed() < Duration::from_millis(40), "virtual time");
 }
 
--- a/tests/ephemeral_evacuation.rs
+++ b/tests/ephemeral_evacuation.rs
@@ -172,7 +172,7 @@
         prefix: "e/".to_string(),
         domain: "a".to_string(),
         domains: ["a", "b"].map(str::to_string).into(),
-        wait: Duration::from_secs(3),
+        max_wait: Duration::from_secs(3),
     };
     let (tx, mut rx) = unbounded_channel();
     let tell = move |evacuated| tx.send(evacuated).is_ok();
--- a/tests/ephemeral_fleet/connections.rs
+++ b/tests/ephemeral_fleet/connections.rs
@@ -64,7 +64,7 @@
     pub(super) fn most_age_us(&self) -> u64 {
         match self.without.frame_age {
             true => u64::MAX,
-            false => micros(self.limits.frame_age),
+            false => micros(self.limits.max_frame_age),
         }
     }
 
--- a/tests/ephemeral_follower.rs
+++ b/tests/ephemeral_follower.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use tokio::sync::mpsc::unbounded_channel;
-use winghold::ephemeral::follower::{Follower, Keys, WATCH};
+use winghold::ephemeral::follower::{Follower, WATCH_TIMEOUT, WatchedKeys};
 use winghold::logging;
 use winghold::metrics::Metrics;
 use winghold::store::{
@@ -92,11 +92,11 @@
         log: logging::discard(),
     };
     let tell = move |entries: Vec<StoreEntry>| tx.send(entries).is_ok();
-    let keys = Keys {
+    let keys = WatchedKeys {
         prefix: "k",
-        what: "test",
+        label: "test",
         leased: true,
-        wait: WATCH,
+        max_wait: WATCH_TIMEOUT,
     };
     let _ = tokio::time::timeout(span, follower.follow(&keys, tell)).await;
     std::iter::from_fn(|| rx.try_recv().ok()).collect()
--- a/tests/ephemeral_losses.rs
+++ b/tests/ephemeral_losses.rs
@@ -12,7 +12,7 @@
 use winghold::ephemeral::dispatcher::DispatchAction;
 use winghold::ephemeral::gate::GateAction;
 use winghold::ephemeral::job::{JobId, JobSpec};
-use winghold::ephemeral::losses::{GivenUp, LossLog, WorkerLoss};
+use winghold::ephemeral::losses::{AbandonedTask, LossLog, WorkerLoss};
 use winghold::ephemeral::message::{GateLoad, NotRunReason, RunEnd, ToEntry, ToGate, WorkerTraits};
 use winghold::ephemeral::session::SessionId;
 use winghold::ephemeral::worker::{OrderError, StartReply, WorkerEnd};
@@ -478,19 +478,19 @@
         wall_ms: 0,
     };
     let mut log = LossLog::default();
-    log.note(at(0), &loss(1, "w-0", true));
-    log.note(at(0), &loss(1, "w-1", true));
-    log.note(at(60), &loss(1, "w-2", true));
-    let given_up = GivenUp {
+    log.record(at(0), &loss(1, "w-0", true));
+    log.record(at(0), &loss(1, "w-1", true));
+    log.record(at(60), &loss(1, "w-2", true));
+    let abandoned = AbandonedTask {
         index: 0,
-        known: true,
+        crash_confirmed: true,
     };
-    assert_eq!(log.given_up(JobId(1)), Some(given_up));
-    log.forget_old(at(125));
-    assert_eq!(log.given_up(JobId(1)), None);
+    assert_eq!(log.abandoned_task(JobId(1)), Some(abandoned));
+    log.evict_expired(at(125));
+    assert_eq!(log.abandoned_task(JobId(1)), None);
     assert_eq!(log.count(JobId(1), 0), 1);
     for job in 2..10_000 {
-        log.note(at(130), &loss(job, "w-3", true));
+        log.record(at(130), &loss(job, "w-3", true));
     }
     assert_eq!(log.count(JobId(1), 0), 0, "the oldest goes first");
     assert_eq!(log.count(JobId(9_999), 0), 1);
--- a/tests/ephemeral_priority_classes.rs
+++ b/tests/ephemeral_priority_classes.rs
@@ -202,7 +202,7 @@
     let mut bench = Bench::ready();
     send_all(&mut bench, 5, &URGENT_ORDER);
     let spare = Order {
-        priority: Priority::SPARE_ROOM,
+        priority: Priority::BEST_EFFORT,
         ..URGENT_ORDER
     };
     send(&mut bench, 1, &spare);
--- a/tests/ephemeral_safety.rs
+++ b/tests/ephemeral_safety.rs
@@ -279,17 +279,17 @@
         lease: Duration::from_millis(3_000),
         ..limits()
     };
-    assert!(!longer.keep_runs_apart());
+    assert!(!longer.prevents_overlapping_runs());
     assert!(breaks(longer, Without::default()));
 }
 
 #[test]
 fn a_silence_longer_than_the_resend_pause_lets_runs_overlap() {
     let longer = Limits {
-        silence: Duration::from_millis(3_000),
+        peer_timeout: Duration::from_millis(3_000),
         ..limits()
     };
-    assert!(!longer.keep_runs_apart());
+    assert!(!longer.prevents_overlapping_runs());
     assert!(breaks(longer, Without::default()));
 }
 
--- a/tests/large_fleet/entries.rs
+++ b/tests/large_fleet/entries.rs
@@ -7,8 +7,8 @@
 use winghold::code::ResultCode;
 use winghold::ephemeral::directory::{GateChanges, GateRecord};
 use winghold::ephemeral::dispatcher::{DispatchAction, Dispatcher, WaiterId};
-use winghold::ephemeral::entry::dials::Dials;
-use winghold::ephemeral::frame_counts::kind_of;
+use winghold::ephemeral::entry::dials::Dialer;
+use winghold::ephemeral::frame_counts::frame_kind;
 use winghold::ephemeral::job::{Constraints, JobId, JobSpec, Resources};
 use winghold::ephemeral::limits::Limits;
 use winghold::ephemeral::message::{ProcessId, RunEnd, ToEntry, ToGate};
@@ -29,7 +29,7 @@
 
 pub struct EntrySide {
     pub dispatcher: Dispatcher,
-    dials: Dials,
+    dialer: Dialer,
     inbox: VecDeque<Input>,
     /// Processor time that a frame or a job takes.
     pub input_us: u64,
@@ -42,14 +42,14 @@
 
 impl EntrySide {
     pub fn new(now: Moment, me: ProcessId, limits: Limits, records: &[GateRecord]) -> EntrySide {
-        let mut dials = Dials::default();
+        let mut dialer = Dialer::default();
         let known = GateChanges::from(records.to_vec());
         let mut dispatcher = Dispatcher::new(me, limits, logging::discard());
         dispatcher.know_gates(now, &known);
-        dials.know(now, known);
+        dialer.update_records(now, known);
         EntrySide {
             dispatcher,
-            dials,
+            dialer,
             inbox: VecDeque::new(),
             input_us: 0,
             busy_until_us: 0,
@@ -60,7 +60,7 @@
 
     pub fn closed(&mut self, session: SessionId) {
         self.dispatcher.disconnected(session);
-        self.dials.lost(session);
+        self.dialer.session_closed(session);
     }
 
     fn submit(&mut self, now: Moment, id: JobId) {
@@ -107,7 +107,7 @@
         if !self.sessions.contains_key(&flight.session) {
             return;
         }
-        if now.mono_us - flight.sent_us > micros(self.limits.frame_age) + STEP_US {
+        if now.mono_us - flight.sent_us > micros(self.limits.max_frame_age) + STEP_US {
             self.close(flight.session);
             return;
         }
@@ -179,7 +179,7 @@
             return;
         };
         let dispatcher = &side.dispatcher;
-        let attempts = side.dials.attempts(now, |gate| dispatcher.wants(gate));
+        let attempts = side.dialer.due_attempts(now, |gate| dispatcher.wants(gate));
         for attempt in attempts {
             self.connect(index, &attempt.gate);
         }
@@ -194,7 +194,7 @@
             && self.gates[gate].is_some()
         {
             self.sessions.insert(session, (entry, gate));
-            side.dials.connected(name, || session);
+            side.dialer.connected(name, || session);
             side.dispatcher.connected(now, name, session);
         }
     }
@@ -241,7 +241,7 @@
                 }
                 DispatchAction::Redial(name) => {
                     if let Some(side) = &mut self.entries[index] {
-                        side.dials.doubt(&name);
+                        side.dialer.suspect_connection(&name);
                     }
                 }
                 DispatchAction::Reply { waiter, answer } => {
@@ -251,7 +251,7 @@
             }
         }
         for (session, messages) in outbox {
-            self.count(kind_of(&messages));
+            self.count(frame_kind(&messages));
             let (at_us, sent_us) = (self.now_us + STEP_US, self.now_us);
             self.to_gates.push_back(Flight {
                 at_us,
--- a/tests/large_fleet/gates.rs
+++ b/tests/large_fleet/gates.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, VecDeque};
 
-use winghold::ephemeral::frame_counts::kind_of;
+use winghold::ephemeral::frame_counts::frame_kind;
 use winghold::ephemeral::gate::{Gate, GateAction};
 use winghold::ephemeral::limits::Limits;
 use winghold::ephemeral::message::{ProcessId, ToEntry, ToGate};
@@ -150,7 +150,7 @@
             }
         }
         for (session, messages) in outbox {
-            self.count(kind_of(&messages));
+            self.count(frame_kind(&messages));
             self.to_entries.push_back(Flight {
                 at_us: now.mono_us + STEP_US,
                 session,
--- a/tests/narrow_links/mod.rs
+++ b/tests/narrow_links/mod.rs
@@ -203,7 +203,7 @@
 
     fn deliver(&mut self) {
         let now = self.now;
-        let oldest_us = micros(self.limits.frame_age);
+        let oldest_us = micros(self.limits.max_frame_age);
         let mut late = Vec::new();
         for session in &mut self.sessions {
             let gate = &mut self.gates[session.gate];
