--- a/src/ephemeral/gate/config.rs
+++ b/src/ephemeral/gate/config.rs
@@ -2,7 +2,7 @@
 //! entry, notifies those that are behind, and relays parts of documents; it stores none.
 
 use super::{Gate, GateAction};
-use crate::ephemeral::message::{ConfigPart, PartWanted, ProcessId, ToEntry};
+use crate::ephemeral::message::{ConfigPart, ConfigPartRequest, ProcessId, ToEntry};
 use crate::ephemeral::session::SessionId;
 
 impl Gate {
@@ -32,7 +32,7 @@
     }
 
     /// Forwards a request for part of a document to an entry that has it.
-    pub(super) fn request_config_part(&mut self, asker: SessionId, wanted: PartWanted) {
+    pub(super) fn request_config_part(&mut self, asker: SessionId, wanted: ConfigPartRequest) {
         let holders = self.owners.values();
         let holders: Vec<SessionId> = holders
             .filter(|owner| owner.config >= wanted.version)
--- a/src/ephemeral/gate/incarnation.rs
+++ b/src/ephemeral/gate/incarnation.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use crate::ephemeral::limits::SLOW_CLOCK;
+use crate::ephemeral::limits::MAX_CLOCK_SLOWDOWN;
 use crate::ephemeral::message::WorkerTraits;
 use crate::ephemeral::worker::PollReply;
 use crate::ephemeral::worker_id::WorkerId;
@@ -23,7 +23,7 @@
 /// Time at which a lease granted at `given_us` has certainly expired, in monotonic
 /// microseconds.
 pub(super) fn lease_end_us(given_us: u64, lease: Duration) -> u64 {
-    given_us + micros(lease.mul_f64(SLOW_CLOCK) + LEASE_MARGIN)
+    given_us + micros(lease.mul_f64(MAX_CLOCK_SLOWDOWN) + LEASE_MARGIN)
 }
 
 /// Upper bound on the age of an answer to a start; its timeout is far shorter.
@@ -123,7 +123,7 @@
     /// Lower bound of the worker's clock, in milliseconds.
     fn clock(&self, now: Moment) -> f64 {
         let elapsed_us = now.mono_us.saturating_sub(self.clock_at_us);
-        self.clock_ms + elapsed_us as f64 / 1_000.0 / SLOW_CLOCK
+        self.clock_ms + elapsed_us as f64 / 1_000.0 / MAX_CLOCK_SLOWDOWN
     }
 
     /// Whether the worker's clock is known.
--- a/src/ephemeral/gate/losses.rs
+++ b/src/ephemeral/gate/losses.rs
@@ -11,7 +11,7 @@
 use super::worker_incarnations::UNRESPONSIVE_MISSES;
 use super::{Gate, GateAction, Run, RunState};
 use crate::ephemeral::job::RunId;
-use crate::ephemeral::losses::{WorkerLoss, is_likely, went_on};
+use crate::ephemeral::losses::{WorkerLoss, is_likely_cause, was_still_running};
 use crate::ephemeral::message::{ProcessId, ToEntry};
 use crate::ephemeral::worker::{StartAnswer, StartReply, WorkerCallError};
 use crate::ephemeral::worker_id::WorkerId;
@@ -136,7 +136,7 @@
             let by_this_incarnation = record.listed || !self.has_restarted(worker);
             let known = record.has_begun() && record.last_sample.is_some() && by_this_incarnation;
             let loss = WorkerLoss {
-                likely: known && is_likely(age_us, record.expected_us, youngest_us),
+                likely: known && is_likely_cause(age_us, record.expected_us, youngest_us),
                 ran: known && self.was_running_at_loss(now, record),
                 ..loss_of(*run, worker)
             };
@@ -191,7 +191,7 @@
         let lease_taken_us = self.answered_us.saturating_sub(micros(BUSY_POLL_WAIT));
         let in_lease = detected_us <= lease_taken_us + micros(self.limits.lease);
         let age_us = lost_us.saturating_sub(run.ordered_us);
-        in_lease && !stopped && went_on(age_us, run.expected_us)
+        in_lease && !stopped && was_still_running(age_us, run.expected_us)
     }
 
     /// Sends each entry the likeliest causes and the losses of its own runs.
--- a/src/ephemeral/gate/mod.rs
+++ b/src/ephemeral/gate/mod.rs
@@ -395,7 +395,7 @@
         self.load_changed = true;
         self.send(&ended.owner, ended.report(run));
         // A run that never reached the worker may be submitted again under the same number.
-        if !matches!(end, RunEnd::NotRun(reason) if !reason.reached_worker()) {
+        if !matches!(end, RunEnd::NotRun(reason) if !reason.may_have_reached_worker()) {
             self.ended_runs.insert(run, ended);
             self.ended_order.push_back((now.mono_us, run));
         }
--- a/src/ephemeral/gate/patience.rs
+++ b/src/ephemeral/gate/patience.rs
@@ -49,7 +49,7 @@
             return;
         }
         self.start_queued(now);
-        if order.patience_us == 0 && position.priority != Priority::SPARE_ROOM {
+        if order.patience_us == 0 && position.priority != Priority::BEST_EFFORT {
             self.hold_run(now, position, order.due_us);
         }
         self.send_back_late(now);
@@ -93,7 +93,7 @@
         metrics.count("runs_held", counts.held);
         metrics.count("runs_sent_back", counts.sent_back);
         metrics.gauge("runs_waiting", self.queue.len() as u64);
-        let last = self.headroom.typical_run(Priority::SPARE_ROOM);
+        let last = self.headroom.typical_run(Priority::BEST_EFFORT);
         let headroom = self.headroom_for(now, &last);
         metrics.gauge("headroom_cpu_milli", headroom);
     }
--- a/src/ephemeral/gate/pause.rs
+++ b/src/ephemeral/gate/pause.rs
@@ -42,8 +42,8 @@
     /// Time at which a load report to the entry is due or the entry expires.
     fn owner_due_us(&self, now: Moment, entry: &ProcessId, owner: &Owner) -> u64 {
         let silence = match self.has_active_runs(entry) {
-            true => self.limits.silence,
-            false => self.limits.idle_silence,
+            true => self.limits.peer_timeout,
+            false => self.limits.idle_peer_timeout,
         };
         let gone_us = owner.last_seen_us + micros(silence) + 1;
         match owner.session {
--- a/src/ephemeral/gate/restart.rs
+++ b/src/ephemeral/gate/restart.rs
@@ -64,7 +64,7 @@
     pub(super) fn begin_carry_over(&mut self, now: Moment, may_have_lease: bool) {
         let may_start = self.runs.values().any(Run::is_unanswered);
         let inherited_lease_us = match may_have_lease || may_start {
-            true => lease_end_us(now.mono_us, self.limits.most_lease),
+            true => lease_end_us(now.mono_us, self.limits.max_lease),
             false => 0,
         };
         self.carry_over = Some(CarryOver {
--- a/src/ephemeral/gate/sessions.rs
+++ b/src/ephemeral/gate/sessions.rs
@@ -239,7 +239,7 @@
 
     /// Whether the entry has sent anything within the silence limit.
     pub(super) fn is_entry_alive(&self, now: Moment, entry: &ProcessId) -> bool {
-        let silence_us = micros(self.limits.silence);
+        let silence_us = micros(self.limits.peer_timeout);
         let owner = self.owners.get(entry);
         owner.is_some_and(|owner| now.mono_us <= owner.last_seen_us + silence_us)
     }
@@ -253,7 +253,7 @@
 
     /// Expires entries that have been silent for too long and stops their runs.
     pub(super) fn expire_owners(&mut self, now: Moment) {
-        let idle_us = micros(self.limits.idle_silence);
+        let idle_us = micros(self.limits.idle_peer_timeout);
         let silent: Vec<ProcessId> = self
             .owners
             .iter()
@@ -340,8 +340,8 @@
     /// microseconds.
     pub(super) fn load_due_us(&self, now: Moment, owner: &Owner) -> u64 {
         let beat = match self.is_busy(now, owner) {
-            true => self.limits.beat,
-            false => self.limits.idle_beat,
+            true => self.limits.heartbeat_interval,
+            false => self.limits.idle_heartbeat_interval,
         };
         let beat_us = owner.load_sent_us + micros(beat);
         let confirm_us = owner
--- a/src/ephemeral/gate/worker_incarnations.rs
+++ b/src/ephemeral/gate/worker_incarnations.rs
@@ -91,7 +91,7 @@
                 "before_cpu_milli" => incarnation.traits.capacity.cpu_milli);
             let mut record = report.record();
             let before = &incarnation.traits.largest;
-            record.traits.largest = report.capacity.largest_of_each(before);
+            record.traits.largest = report.capacity.max_of_each(before);
             incarnation.traits = Arc::new(record.traits.clone());
             self.room.resize(report.capacity);
             self.load_changed = true;
@@ -334,7 +334,7 @@
 
     /// Stops runs of a previous gate that no entry has claimed in time.
     pub(super) fn stop_unclaimed(&mut self, now: Moment) {
-        let silence_us = micros(self.limits.silence);
+        let silence_us = micros(self.limits.peer_timeout);
         let mut sent = Vec::new();
         for (run, due_us) in &mut self.unclaimed {
             if *due_us <= now.mono_us {
