--- a/src/agent/mod.rs
+++ b/src/agent/mod.rs
@@ -397,7 +397,7 @@
             task,
             payload,
             lease,
-            limit,
+            timeout: limit,
         });
         let tx = self.tx.clone();
         tokio::spawn(async move {
--- a/src/bench/slope_fleet.rs
+++ b/src/bench/slope_fleet.rs
@@ -218,7 +218,8 @@
         for action in self.gate.start(moment(), &entry, start(task)) {
             if let GateAction::Run { task, .. } = action {
                 let outcome = TaskOutcome::Done(Bytes::copy_from_slice(&result()));
-                self.gate.ended(moment(), task, RunResult::Ended(outcome));
+                self.gate
+                    .run_ended(moment(), task, RunResult::Ended(outcome));
             }
         }
     }
--- a/src/entry/mod.rs
+++ b/src/entry/mod.rs
@@ -23,7 +23,7 @@
 use crate::fleet::{Fleet, News};
 use crate::id::{MemberId, SubmissionId};
 use crate::link::{Distance, LinkEvent, Links, NoDistance};
-use crate::load::LoadBook;
+use crate::load::LoadTable;
 use crate::message::{Answer, Ask, Message, Submission};
 use crate::metrics::Metrics;
 use crate::node::{Node, Stimulus, Tally, WatchReply, feed, watch_store};
@@ -207,7 +207,7 @@
 struct Core {
     node: Node,
     router: Router,
-    loads: LoadBook,
+    loads: LoadTable,
     settings: EntrySettings,
     view: watch::Sender<View>,
     callers: HashMap<u64, oneshot::Sender<Answer>>,
@@ -244,7 +244,7 @@
         let core = Core {
             node: Node::new(me, parts.timer, links, fleet, parts.log, parts.metrics),
             router: Router::default(),
-            loads: LoadBook::default(),
+            loads: LoadTable::default(),
             settings,
             view,
             callers: HashMap::new(),
--- a/src/ephemeral/dispatcher/progress.rs
+++ b/src/ephemeral/dispatcher/progress.rs
@@ -48,7 +48,7 @@
             RunEnd::Done => {
                 task.state = TaskState::Done;
                 let done = job.all_done();
-                self.run_times.learn(&route.service, &route.name, run_us);
+                self.run_times.record(&route.service, &route.name, run_us);
                 if self.scheduling.worker_speeds {
                     let slowness = self.gates.get(gate).map_or(1.0, GateView::slowness);
                     let expected_us = expected_us as f64 * slowness;
--- a/src/gate/mod.rs
+++ b/src/gate/mod.rs
@@ -1,11 +1,8 @@
-//! The gate of one target: the only way to it.
+//! Gate of one target: admits, queues and starts the target's tasks.
 //!
-//! It admits tasks against the target's slots, keeps a short queue, and
-//! remembers every task it was ever given for as long as a caller may ask
-//! again. A task is started at most once here: a start that comes again finds
-//! its record. A refusal is a bar: once the gate has said that an attempt was
-//! not started, that attempt can never start here, however late or often its
-//! message arrives, so the owner may try another gate.
+//! The gate keeps a record of each task for the retention period, so a repeated start does
+//! not run a task twice. A refused attempt can never start at this gate, even if its start
+//! message arrives late or repeatedly, so the owner may send the task to another gate.
 
 mod queue;
 mod stats;
@@ -20,50 +17,50 @@
 use crate::load::LoadSample;
 use crate::message::{Message, Refusal, Start, StartedTask, TaskOutcome};
 use crate::time::{Moment, micros};
-use queue::{Queue, Waiting};
+use queue::{Queue, QueuedTask};
 use stats::RunStats;
 
-/// What a gate asks of the process around it.
+/// Action that the process must perform for its gate.
 #[derive(Clone, Debug)]
 pub enum GateAction {
     /// Send a message.
     Send {
-        /// To whom.
+        /// Recipient.
         to: MemberId,
-        /// What.
+        /// Message.
         message: Message,
     },
     /// Run a task on the target.
     Run {
         /// The task.
         task: TaskId,
-        /// What the target gets.
+        /// Payload for the target.
         payload: Bytes,
-        /// Time left until its deadline, in milliseconds.
+        /// Remaining time until the deadline.
         budget_ms: u64,
     },
-    /// Stop a task that runs.
+    /// Stop a running task.
     StopRun {
         /// The task.
         task: TaskId,
     },
 }
 
-/// How a run on the target ended.
+/// Result of a run on the target.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RunResult {
-    /// The target took no connection, so nothing reached it.
+    /// The target accepted no connection, so the task did not run.
     NotConnected,
-    /// It ended.
+    /// The run ended.
     Ended(TaskOutcome),
 }
 
 #[derive(Debug)]
-enum State {
+enum TaskState {
     Waiting,
     Running { since_us: u64, expected_us: u64 },
     Ended { outcome: TaskOutcome, run_us: u64 },
-    Barred { reason: Refusal },
+    Refused { reason: Refusal },
 }
 
 #[derive(Debug)]
@@ -72,76 +69,76 @@
     owner: MemberId,
     attempt: u32,
     team: Option<std::sync::Arc<str>>,
-    state: State,
-    touched_us: u64,
+    state: TaskState,
+    updated_us: u64,
 }
 
-/// What a gate is told at its start.
+/// Fixed settings of a gate.
 #[derive(Clone, Debug)]
 pub struct GateSettings {
-    /// The process that it is part of.
+    /// Process that the gate belongs to.
     pub me: MemberId,
-    /// Service of its target.
+    /// Service of the target.
     pub service: String,
-    /// Tasks that the target runs at once.
+    /// Number of tasks that the target runs concurrently.
     pub slots: u32,
     /// Failure domain of the gate.
     pub failure_domain: String,
 }
 
-/// The gate of one target.
+/// Gate of one target.
 #[derive(Debug)]
 pub struct Gate {
     settings: GateSettings,
     queue_limit: usize,
-    reserved: u32,
-    redirects: u32,
+    reserved_slots: u32,
+    max_urgent_redirects: u32,
     retention: Duration,
     stops_running: bool,
     records: HashMap<TaskId, Record>,
-    floors: HashMap<RangeId, Epoch>,
+    min_epochs: HashMap<RangeId, Epoch>,
     queue: Queue,
     running: u32,
     stats: RunStats,
     leaving: bool,
     drained: bool,
-    samples: u64,
-    swept_us: u64,
+    sample_count: u64,
+    records_swept_us: u64,
 }
 
-/// How often records are looked through for old ones.
-const SWEEP: Duration = Duration::from_secs(5);
+/// How often expired records are removed.
+const SWEEP_INTERVAL: Duration = Duration::from_secs(5);
 
 impl Gate {
-    /// A gate that admits by `config`.
+    /// Creates a gate with the limits of `config`.
     pub fn new(settings: GateSettings, config: &Config) -> Gate {
         let mut gate = Gate {
             settings,
             queue_limit: 0,
-            reserved: 0,
-            redirects: 0,
+            reserved_slots: 0,
+            max_urgent_redirects: 0,
             retention: Duration::ZERO,
             stops_running: true,
             records: HashMap::new(),
-            floors: HashMap::new(),
+            min_epochs: HashMap::new(),
             queue: Queue::default(),
             running: 0,
             stats: RunStats::default(),
             leaving: false,
             drained: false,
-            samples: 0,
-            swept_us: 0,
+            sample_count: 0,
+            records_swept_us: 0,
         };
         gate.configure(config, 0);
         gate
     }
 
-    /// Puts a configuration in force; `fleet_slots` is the number of slots
-    /// that all targets of the service have, 0 if unknown.
+    /// Applies a configuration; `fleet_slots` is the number of slots of all targets of the
+    /// service, 0 if unknown.
     pub fn configure(&mut self, config: &Config, fleet_slots: u32) {
         self.queue_limit = config.policy.target_queue;
-        self.reserved = config.policy.reserved_slots;
-        self.redirects = config.policy.urgent_redirects;
+        self.reserved_slots = config.policy.reserved_slots;
+        self.max_urgent_redirects = config.policy.urgent_redirects;
         self.retention = Duration::from_millis(config.ownership.retention_ms);
         self.stops_running = config.policy.cancel_stops_running;
         let settings = &self.settings;
@@ -150,32 +147,32 @@
             .configure(config, self.settings.slots, fleet_slots);
     }
 
-    /// Takes no more work from now on; what it has finishes.
+    /// Refuses new tasks; tasks that are queued or running finish.
     pub fn leave(&mut self) {
         self.leaving = true;
     }
 
-    /// Whether nothing waits or runs.
-    pub fn idle(&self) -> bool {
+    /// Whether no task is queued or running.
+    pub fn is_idle(&self) -> bool {
         self.running == 0 && self.queue.is_empty()
     }
 
-    /// Number of tasks that run.
+    /// Number of running tasks.
     pub fn running(&self) -> u32 {
         self.running
     }
 
-    /// Number of tasks that it remembers.
-    pub fn remembered(&self) -> usize {
+    /// Number of task records.
+    pub fn record_count(&self) -> usize {
         self.records.len()
     }
 
-    /// The load now; each call counts one more sample.
-    pub fn sample(&mut self) -> LoadSample {
-        self.samples += 1;
+    /// Takes a sample of the current load and numbers it.
+    pub fn sample_load(&mut self) -> LoadSample {
+        self.sample_count += 1;
         LoadSample {
             gate: self.settings.me.clone(),
-            number: self.samples,
+            number: self.sample_count,
             running: self.running,
             urgent_queued: self.queue.urgent_len() as u32,
             queued: self.queue.len() as u32,
@@ -190,30 +187,30 @@
         self.leaving || self.drained
     }
 
-    /// Takes no start for `range` of an epoch before `epoch` any more.
-    pub fn raise_floor(&mut self, range: RangeId, epoch: Epoch) {
-        let floor = self.floors.entry(range).or_default();
-        *floor = epoch.max(*floor);
+    /// Refuses starts for `range` with an epoch below `epoch` from now on.
+    pub fn raise_min_epoch(&mut self, range: RangeId, epoch: Epoch) {
+        let min_epoch = self.min_epochs.entry(range).or_default();
+        *min_epoch = epoch.max(*min_epoch);
     }
 
-    fn floor(&self, range: RangeId) -> Epoch {
-        self.floors.get(&range).copied().unwrap_or_default()
+    fn min_epoch(&self, range: RangeId) -> Epoch {
+        self.min_epochs.get(&range).copied().unwrap_or_default()
     }
 
-    /// An owner wants a task run.
+    /// Handles an owner's request to start a task.
     pub fn start(&mut self, now: Moment, from: &MemberId, start: Start) -> Vec<GateAction> {
-        if start.epoch < self.floor(start.range) {
+        if start.epoch < self.min_epoch(start.range) {
             return vec![refuse(from, start.task, start.attempt, Refusal::StaleEpoch)];
         }
-        self.raise_floor(start.range, start.epoch);
+        self.raise_min_epoch(start.range, start.epoch);
         match self.records.get(&start.task) {
             None => self.admit(now, from, start),
-            Some(record) if record.may_try_again(start.attempt) => self.admit(now, from, start),
-            Some(_) => self.known(from, start.task),
+            Some(record) if record.can_retry(start.attempt) => self.admit(now, from, start),
+            Some(_) => self.report_to(from, start.task),
         }
     }
 
-    fn known(&mut self, from: &MemberId, task: TaskId) -> Vec<GateAction> {
+    fn report_to(&mut self, from: &MemberId, task: TaskId) -> Vec<GateAction> {
         let Some(record) = self.records.get_mut(&task) else {
             return Vec::new();
         };
@@ -222,10 +219,10 @@
     }
 
     fn admit(&mut self, now: Moment, from: &MemberId, start: Start) -> Vec<GateAction> {
-        let refusal = self.refusal(&start);
+        let refusal = self.refusal_reason(&start);
         let state = match refusal {
-            Some(reason) => State::Barred { reason },
-            None => State::Waiting,
+            Some(reason) => TaskState::Refused { reason },
+            None => TaskState::Waiting,
         };
         let record = Record {
             range: start.range,
@@ -233,83 +230,83 @@
             attempt: start.attempt,
             team: start.team.clone(),
             state,
-            touched_us: now.mono_us,
+            updated_us: now.mono_us,
         };
         let (task, attempt) = (start.task, start.attempt);
         self.records.insert(task, record);
         if let Some(reason) = refusal {
             return vec![refuse(from, task, attempt, reason)];
         }
-        self.queue.push(Waiting::new(now, start));
-        self.fill(now)
+        self.queue.push(QueuedTask::new(now, start));
+        self.start_queued(now)
     }
 
-    fn refusal(&self, start: &Start) -> Option<Refusal> {
+    fn refusal_reason(&self, start: &Start) -> Option<Refusal> {
         if self.refuses_all() {
             return Some(Refusal::Leaving);
         }
-        if self.queue.team_may_run(start.team.as_deref())
+        if self.queue.team_has_capacity(start.team.as_deref())
             && self.running < self.slots_for(start.urgent)
         {
             return None;
         }
-        if start.urgent && start.attempt < self.redirects {
+        if start.urgent && start.attempt < self.max_urgent_redirects {
             return Some(Refusal::Busy);
         }
-        let before = match start.urgent {
+        let queued = match start.urgent {
             true => self.queue.urgent_len(),
             false => self.queue.len(),
         };
-        if before >= self.queue_limit {
+        if queued >= self.queue_limit {
             return Some(Refusal::QueueFull);
         }
-        let ahead = before as u64 + 1;
-        let wait_us = ahead * self.stats.mean_run_us() / u64::from(self.settings.slots);
+        let position = queued as u64 + 1;
+        let wait_us = position * self.stats.mean_run_us() / u64::from(self.settings.slots);
         let needed_us = wait_us + start.expected_us;
         (needed_us > start.budget_ms * 1_000).then_some(Refusal::TooLate)
     }
 
-    /// Slots that a task may use; some are kept for urgent ones.
+    /// Number of slots that a task may use; reserved slots are only for urgent tasks.
     fn slots_for(&self, urgent: bool) -> u32 {
-        let reserved = if urgent { 0 } else { self.reserved };
-        self.settings.slots.saturating_sub(reserved).max(1)
+        let reserved_slots = if urgent { 0 } else { self.reserved_slots };
+        self.settings.slots.saturating_sub(reserved_slots).max(1)
     }
 
-    fn fill(&mut self, now: Moment) -> Vec<GateAction> {
+    fn start_queued(&mut self, now: Moment) -> Vec<GateAction> {
         let mut actions = Vec::new();
         while self.running < self.settings.slots {
-            let all = self.running < self.slots_for(false);
-            let Some(waiting) = self.queue.pop(now, all) else {
+            let any_priority = self.running < self.slots_for(false);
+            let Some(queued) = self.queue.pop(now, any_priority) else {
                 break;
             };
-            actions.push(self.run(now, waiting));
+            actions.push(self.start_run(now, queued));
         }
         actions
     }
 
-    fn run(&mut self, now: Moment, waiting: Waiting) -> GateAction {
-        let task = waiting.start.task;
+    fn start_run(&mut self, now: Moment, queued: QueuedTask) -> GateAction {
+        let task = queued.start.task;
         self.running += 1;
-        self.queue.team_runs(waiting.start.team.as_deref());
+        self.queue.team_started(queued.start.team.as_deref());
         if let Some(record) = self.records.get_mut(&task) {
-            record.state = State::Running {
+            record.state = TaskState::Running {
                 since_us: now.mono_us,
-                expected_us: waiting.start.expected_us,
+                expected_us: queued.start.expected_us,
             };
         }
         GateAction::Run {
             task,
-            budget_ms: now.left(waiting.deadline_us).as_millis() as u64,
-            payload: waiting.start.payload,
+            budget_ms: now.left(queued.deadline_us).as_millis() as u64,
+            payload: queued.start.payload,
         }
     }
 
-    /// A run ended.
-    pub fn ended(&mut self, now: Moment, task: TaskId, result: RunResult) -> Vec<GateAction> {
+    /// Records the end of a run and starts queued tasks.
+    pub fn run_ended(&mut self, now: Moment, task: TaskId, result: RunResult) -> Vec<GateAction> {
         let Some(record) = self.records.get_mut(&task) else {
             return Vec::new();
         };
-        let State::Running {
+        let TaskState::Running {
             since_us,
             expected_us,
         } = record.state
@@ -317,23 +314,23 @@
             return Vec::new();
         };
         let run_us = now.mono_us.saturating_sub(since_us);
-        record.touched_us = now.mono_us;
+        record.updated_us = now.mono_us;
         self.stats.record(&result, run_us, expected_us);
         record.state = match result {
-            RunResult::NotConnected => State::Barred {
+            RunResult::NotConnected => TaskState::Refused {
                 reason: Refusal::NoConnection,
             },
-            RunResult::Ended(outcome) => State::Ended { outcome, run_us },
+            RunResult::Ended(outcome) => TaskState::Ended { outcome, run_us },
         };
         let mut actions = vec![record.report(task)];
         let team = record.team.clone();
         self.running -= 1;
-        self.queue.team_ends(team.as_deref());
-        actions.extend(self.fill(now));
+        self.queue.team_ended(team.as_deref());
+        actions.extend(self.start_queued(now));
         actions
     }
 
-    /// An owner asks about a task; one that waits is barred.
+    /// Reports a task to its owner, and refuses it if it has not started.
     pub fn inquire(
         &mut self,
         now: Moment,
@@ -343,47 +340,47 @@
         epoch: Epoch,
         attempt: u32,
     ) -> Vec<GateAction> {
-        if epoch < self.floor(range) {
+        if epoch < self.min_epoch(range) {
             return Vec::new();
         }
-        let bar = || Record::barred(range, from, attempt, now);
-        self.records.entry(task).or_insert_with(bar);
-        self.bar_waiting(task);
-        self.known(from, task)
+        let refused = || Record::refused(range, from, attempt, now);
+        self.records.entry(task).or_insert_with(refused);
+        self.refuse_queued(task);
+        self.report_to(from, task)
     }
 
-    /// An owner no longer wants a task: bar it, or stop it.
+    /// Refuses a task that has not started, or stops it.
     pub fn stop(&mut self, task: TaskId) -> Vec<GateAction> {
-        self.bar_waiting(task);
+        self.refuse_queued(task);
         let Some(record) = self.records.get(&task) else {
             return Vec::new();
         };
         match record.state {
-            State::Running { .. } if self.stops_running => vec![GateAction::StopRun { task }],
+            TaskState::Running { .. } if self.stops_running => vec![GateAction::StopRun { task }],
             _ => vec![record.report(task)],
         }
     }
 
-    fn bar_waiting(&mut self, task: TaskId) {
+    fn refuse_queued(&mut self, task: TaskId) {
         if !self.queue.remove(task) {
             return;
         }
         if let Some(record) = self.records.get_mut(&task) {
-            record.state = State::Barred {
+            record.state = TaskState::Refused {
                 reason: Refusal::Barred,
             };
         }
     }
 
-    /// A new owner wants to know what was started in a range.
+    /// Reports the tasks started in a range to its new owner.
     pub fn recover(&mut self, from: &MemberId, range: RangeId, epoch: Epoch) -> Vec<GateAction> {
-        if epoch < self.floor(range) {
+        if epoch < self.min_epoch(range) {
             return Vec::new();
         }
-        self.raise_floor(range, epoch);
+        self.raise_min_epoch(range, epoch);
         let mut tasks = Vec::new();
-        let in_range = self.records.iter_mut();
-        for (task, record) in in_range.filter(|(_, record)| record.range == range) {
+        let records = self.records.iter_mut();
+        for (task, record) in records.filter(|(_, record)| record.range == range) {
             record.owner = from.clone();
             tasks.extend(record.started(*task));
         }
@@ -398,15 +395,15 @@
         }]
     }
 
-    /// Time has passed: give up what is late and forget what is old.
+    /// Refuses queued tasks whose deadline has passed, and removes expired records.
     pub fn tick(&mut self, now: Moment) -> Vec<GateAction> {
-        self.sweep(now);
+        self.remove_expired_records(now);
         let mut actions = Vec::new();
-        for task in self.queue.take_late(now) {
+        for task in self.queue.remove_expired(now) {
             let Some(record) = self.records.get_mut(&task) else {
                 continue;
             };
-            record.state = State::Barred {
+            record.state = TaskState::Refused {
                 reason: Refusal::TooLate,
             };
             actions.push(record.report(task));
@@ -414,47 +411,47 @@
         actions
     }
 
-    fn sweep(&mut self, now: Moment) {
-        if now.mono_us < self.swept_us + micros(SWEEP) {
+    fn remove_expired_records(&mut self, now: Moment) {
+        if now.mono_us < self.records_swept_us + micros(SWEEP_INTERVAL) {
             return;
         }
-        self.swept_us = now.mono_us;
-        let keep_us = micros(self.retention);
+        self.records_swept_us = now.mono_us;
+        let retention_us = micros(self.retention);
         self.records.retain(|_, record| {
-            let live = matches!(record.state, State::Waiting | State::Running { .. });
-            live || record.touched_us + keep_us > now.mono_us
+            let is_active = matches!(record.state, TaskState::Waiting | TaskState::Running { .. });
+            is_active || record.updated_us + retention_us > now.mono_us
         });
     }
 }
 
 impl Record {
-    fn barred(range: RangeId, owner: &MemberId, attempt: u32, now: Moment) -> Record {
+    fn refused(range: RangeId, owner: &MemberId, attempt: u32, now: Moment) -> Record {
         Record {
             range,
             owner: owner.clone(),
             attempt,
             team: None,
-            state: State::Barred {
+            state: TaskState::Refused {
                 reason: Refusal::Barred,
             },
-            touched_us: now.mono_us,
+            updated_us: now.mono_us,
         }
     }
 
-    /// A refused attempt may be followed by a later one, never by itself.
-    fn may_try_again(&self, attempt: u32) -> bool {
-        matches!(self.state, State::Barred { .. }) && attempt > self.attempt
+    /// Whether `attempt` is a new attempt after a refused one.
+    fn can_retry(&self, attempt: u32) -> bool {
+        matches!(self.state, TaskState::Refused { .. }) && attempt > self.attempt
     }
 
     fn report(&self, task: TaskId) -> GateAction {
         let message = match &self.state {
-            State::Waiting | State::Running { .. } => Message::Running { task },
-            State::Barred { reason } => Message::Refused {
+            TaskState::Waiting | TaskState::Running { .. } => Message::Running { task },
+            TaskState::Refused { reason } => Message::Refused {
                 task,
                 attempt: self.attempt,
                 reason: *reason,
             },
-            State::Ended { outcome, run_us } => Message::Finished {
+            TaskState::Ended { outcome, run_us } => Message::Finished {
                 task,
                 outcome: outcome.clone(),
                 run_us: *run_us,
@@ -468,9 +465,9 @@
 
     fn started(&self, task: TaskId) -> Option<StartedTask> {
         let outcome = match &self.state {
-            State::Barred { .. } => return None,
-            State::Waiting | State::Running { .. } => None,
-            State::Ended { outcome, .. } => Some(outcome.clone()),
+            TaskState::Refused { .. } => return None,
+            TaskState::Waiting | TaskState::Running { .. } => None,
+            TaskState::Ended { outcome, .. } => Some(outcome.clone()),
         };
         Some(StartedTask { task, outcome })
     }
--- a/src/gate/queue.rs
+++ b/src/gate/queue.rs
@@ -1,8 +1,7 @@
-//! The tasks that wait at a gate.
+//! Priority queue of a gate.
 //!
-//! The next task is one of the most urgent priority whose team is below its
-//! cap; among those the team that uses least of its share goes first, and
-//! within a team the earliest deadline. The queue is short, so a scan serves.
+//! Considers tasks whose team is below its cap, and orders them by urgency, priority, the
+//! team's use of its share, and deadline. The queue is short enough for a linear scan.
 
 use std::cmp::Ordering;
 use std::collections::HashMap;
@@ -14,20 +13,20 @@
 use crate::message::Start;
 use crate::time::Moment;
 
-/// A task that waits.
+/// Task in the queue.
 #[derive(Debug)]
-pub struct Waiting {
-    /// How it came.
+pub struct QueuedTask {
+    /// Start message.
     pub start: Start,
-    /// Its deadline on this process's monotonic clock.
+    /// Deadline on this process's monotonic clock.
     pub deadline_us: u64,
 }
 
-impl Waiting {
-    /// A task that came at `now`.
-    pub fn new(now: Moment, start: Start) -> Waiting {
+impl QueuedTask {
+    /// Creates an entry for a start received at `now`.
+    pub fn new(now: Moment, start: Start) -> QueuedTask {
         let deadline_us = now.after(Duration::from_millis(start.budget_ms));
-        Waiting { start, deadline_us }
+        QueuedTask { start, deadline_us }
     }
 }
 
@@ -39,7 +38,7 @@
 }
 
 impl Quota {
-    fn may_run(&self) -> bool {
+    fn has_capacity(&self) -> bool {
         self.cap.is_none_or(|cap| self.running < cap)
     }
 
@@ -48,16 +47,16 @@
     }
 }
 
-/// The tasks that wait at a gate, and what each team runs there.
+/// Queued tasks of a gate, with the number of running tasks of each team.
 #[derive(Debug, Default)]
 pub struct Queue {
-    waiting: Vec<Waiting>,
+    tasks: Vec<QueuedTask>,
     quotas: HashMap<Arc<str>, Quota>,
 }
 
 impl Queue {
-    /// Takes over shares and caps; a team's cap here is its part of the cap in
-    /// the fleet, by slots.
+    /// Applies the teams' shares and caps. The gate's part of a team's cap is proportional to
+    /// its slots.
     pub fn configure(&mut self, config: &Config, slots: u32, fleet_slots: u32) {
         for quota in self.quotas.values_mut() {
             quota.share = 1;
@@ -75,44 +74,44 @@
         }
     }
 
-    /// Number of tasks that wait.
+    /// Number of queued tasks.
     pub fn len(&self) -> usize {
-        self.waiting.len()
+        self.tasks.len()
     }
 
-    /// Number of urgent tasks that wait.
+    /// Number of urgent queued tasks.
     pub fn urgent_len(&self) -> usize {
-        self.waiting
+        self.tasks
             .iter()
-            .filter(|waiting| waiting.start.urgent)
+            .filter(|queued| queued.start.urgent)
             .count()
     }
 
-    /// Whether none waits.
+    /// Whether the queue is empty.
     pub fn is_empty(&self) -> bool {
-        self.waiting.is_empty()
+        self.tasks.is_empty()
     }
 
-    /// Adds a task.
-    pub fn push(&mut self, waiting: Waiting) {
-        self.waiting.push(waiting);
+    /// Adds a task to the queue.
+    pub fn push(&mut self, queued: QueuedTask) {
+        self.tasks.push(queued);
     }
 
-    /// Takes out the task that runs next; `all` says whether any may run, or
-    /// only urgent ones.
-    pub fn pop(&mut self, now: Moment, all: bool) -> Option<Waiting> {
-        let in_time = |waiting: &Waiting| waiting.deadline_us > now.mono_us;
-        let may_run = |waiting: &Waiting| {
-            (all || waiting.start.urgent) && self.team_may_run(waiting.start.team.as_deref())
+    /// Removes the next task to run; only an urgent one unless `any_priority`.
+    pub fn pop(&mut self, now: Moment, any_priority: bool) -> Option<QueuedTask> {
+        let is_in_time = |queued: &QueuedTask| queued.deadline_us > now.mono_us;
+        let may_run = |queued: &QueuedTask| {
+            (any_priority || queued.start.urgent)
+                && self.team_has_capacity(queued.start.team.as_deref())
         };
-        let candidates = self.waiting.iter().enumerate();
-        let eligible = candidates.filter(|(_, waiting)| in_time(waiting) && may_run(waiting));
-        let best = eligible.min_by(|(_, a), (_, b)| self.order(a, b));
+        let candidates = self.tasks.iter().enumerate();
+        let eligible = candidates.filter(|(_, queued)| is_in_time(queued) && may_run(queued));
+        let best = eligible.min_by(|(_, a), (_, b)| self.compare(a, b));
         let index = best.map(|(index, _)| index)?;
-        Some(self.waiting.remove(index))
+        Some(self.tasks.remove(index))
     }
 
-    fn order(&self, a: &Waiting, b: &Waiting) -> Ordering {
+    fn compare(&self, a: &QueuedTask, b: &QueuedTask) -> Ordering {
         let by_urgency = b.start.urgent.cmp(&a.start.urgent);
         let by_priority = a.start.priority.cmp(&b.start.priority);
         let by_usage = self.usage(a).total_cmp(&self.usage(b));
@@ -123,8 +122,8 @@
             .then(by_deadline)
     }
 
-    fn usage(&self, waiting: &Waiting) -> f64 {
-        let quota = self.quota(waiting.start.team.as_deref());
+    fn usage(&self, queued: &QueuedTask) -> f64 {
+        let quota = self.quota(queued.start.team.as_deref());
         quota.map_or(0.0, Quota::usage)
     }
 
@@ -132,29 +131,29 @@
         team.and_then(|team| self.quotas.get(team))
     }
 
-    /// Takes out one task.
+    /// Removes a task; returns whether it was queued.
     pub fn remove(&mut self, task: TaskId) -> bool {
-        let before = self.waiting.len();
-        self.waiting.retain(|waiting| waiting.start.task != task);
-        self.waiting.len() < before
+        let before = self.tasks.len();
+        self.tasks.retain(|queued| queued.start.task != task);
+        self.tasks.len() < before
     }
 
-    /// Takes out the tasks whose deadline has passed.
-    pub fn take_late(&mut self, now: Moment) -> Vec<TaskId> {
-        let late = |waiting: &Waiting| waiting.deadline_us <= now.mono_us;
-        let tasks = self.waiting.iter().filter(|waiting| late(waiting));
-        let tasks = tasks.map(|waiting| waiting.start.task).collect();
-        self.waiting.retain(|waiting| !late(waiting));
+    /// Removes the tasks whose deadline has passed.
+    pub fn remove_expired(&mut self, now: Moment) -> Vec<TaskId> {
+        let is_expired = |queued: &QueuedTask| queued.deadline_us <= now.mono_us;
+        let tasks = self.tasks.iter().filter(|queued| is_expired(queued));
+        let tasks = tasks.map(|queued| queued.start.task).collect();
+        self.tasks.retain(|queued| !is_expired(queued));
         tasks
     }
 
     /// Whether `team` is below its cap.
-    pub fn team_may_run(&self, team: Option<&str>) -> bool {
-        self.quota(team).is_none_or(Quota::may_run)
+    pub fn team_has_capacity(&self, team: Option<&str>) -> bool {
+        self.quota(team).is_none_or(Quota::has_capacity)
     }
 
-    /// Counts a task of `team` that starts.
-    pub fn team_runs(&mut self, team: Option<&str>) {
+    /// Counts a task of `team` as running.
+    pub fn team_started(&mut self, team: Option<&str>) {
         let Some(team) = team else {
             return;
         };
@@ -162,8 +161,8 @@
         quota.running += 1;
     }
 
-    /// Counts a task of `team` that ended.
-    pub fn team_ends(&mut self, team: Option<&str>) {
+    /// Counts a task of `team` as ended.
+    pub fn team_ended(&mut self, team: Option<&str>) {
         let quota = team.and_then(|team| self.quotas.get_mut(team));
         if let Some(quota) = quota {
             quota.running = quota.running.saturating_sub(1);
--- a/src/gate/stats.rs
+++ b/src/gate/stats.rs
@@ -1,23 +1,23 @@
-//! What a gate learns from the runs of its target.
+//! Run statistics of a gate's target.
 
 use crate::gate::RunResult;
 use crate::message::TaskOutcome;
 
-/// Weight of a new run in the means.
-const WEIGHT: f64 = 0.1;
-/// Runs that the failure rate looks back on.
-const WINDOW: u32 = 20;
-/// Runs below which no failure rate is told.
-const FEWEST_RUNS: u32 = 8;
-/// Mean run time before the first run.
-const FIRST_MEAN_US: f64 = 100_000.0;
+/// Weight of a new run in the moving averages.
+const MEAN_WEIGHT: f64 = 0.1;
+/// Number of runs in the failure rate's window.
+const FAILURE_WINDOW_RUNS: u32 = 20;
+/// Smallest number of runs for which a failure rate is reported.
+const MIN_RUNS: u32 = 8;
+/// Assumed mean run time before the first run.
+const INITIAL_MEAN_US: f64 = 100_000.0;
 
-/// Means and failures of recent runs.
+/// Moving averages and failure rate of recent runs.
 #[derive(Debug)]
 pub struct RunStats {
     mean_run_us: f64,
     slowness: f64,
-    /// One bit a run, the latest lowest; set if it failed.
+    /// One bit per run, set if it failed; the lowest bit is the latest run.
     failures: u32,
     runs: u32,
 }
@@ -25,7 +25,7 @@
 impl Default for RunStats {
     fn default() -> RunStats {
         RunStats {
-            mean_run_us: FIRST_MEAN_US,
+            mean_run_us: INITIAL_MEAN_US,
             slowness: 1.0,
             failures: 0,
             runs: 0,
@@ -34,20 +34,20 @@
 }
 
 impl RunStats {
-    /// Counts a run.
+    /// Adds a run; stopped runs don't count.
     pub fn record(&mut self, result: &RunResult, run_us: u64, expected_us: u64) {
         if matches!(result, RunResult::Ended(TaskOutcome::Stopped)) {
             return;
         }
         let failed = !matches!(result, RunResult::Ended(TaskOutcome::Done(_)));
         self.failures = (self.failures << 1) | u32::from(failed);
-        self.runs = (self.runs + 1).min(WINDOW);
+        self.runs = (self.runs + 1).min(FAILURE_WINDOW_RUNS);
         if failed {
             return;
         }
-        self.mean_run_us += WEIGHT * (run_us as f64 - self.mean_run_us);
+        self.mean_run_us += MEAN_WEIGHT * (run_us as f64 - self.mean_run_us);
         let slowness = run_us as f64 / expected_us.max(1) as f64;
-        self.slowness += WEIGHT * (slowness - self.slowness);
+        self.slowness += MEAN_WEIGHT * (slowness - self.slowness);
     }
 
     /// Mean run time in microseconds.
@@ -55,14 +55,14 @@
         self.mean_run_us as u64
     }
 
-    /// Run time against what owners expected, in percent.
+    /// Mean ratio of actual to expected run time, in percent.
     pub fn slowness_percent(&self) -> u32 {
         (self.slowness * 100.0) as u32
     }
 
-    /// Failed runs among the recent ones, in percent.
+    /// Share of failed runs in the window, in percent.
     pub fn failed_percent(&self) -> u32 {
-        if self.runs < FEWEST_RUNS {
+        if self.runs < MIN_RUNS {
             return 0;
         }
         let window = (1u32 << self.runs) - 1;
--- a/src/load.rs
+++ b/src/load.rs
@@ -1,8 +1,8 @@
-//! How busy each target is, as its gate last said.
+//! Load samples of gates.
 //!
-//! Samples ride on frames that carry work; nobody probes. A sample is replaced
-//! only by a later one of the same gate, by the gate's own count, so that it
-//! does not matter by which way or how often it arrives.
+//! Samples are sent in frame headers, without probes of their own. A sample replaces
+//! another of its gate only if its number is higher, so order and repetition of delivery
+//! don't matter.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -10,62 +10,62 @@
 
 use crate::id::MemberId;
 
-/// Most samples on one frame.
+/// Maximum number of samples in a frame.
 pub const SAMPLES_PER_FRAME: usize = 16;
 
-/// Load of one target at one moment of its gate.
+/// Load of one target, measured by its gate.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LoadSample {
     /// The gate.
     pub gate: MemberId,
-    /// The gate's count of its samples.
+    /// Sequence number of the gate's samples.
     pub number: u64,
-    /// Tasks that run.
+    /// Number of running tasks.
     pub running: u32,
-    /// Urgent tasks that wait.
+    /// Number of urgent queued tasks.
     pub urgent_queued: u32,
-    /// Tasks that wait, urgent ones included.
+    /// Number of queued tasks, including urgent ones.
     pub queued: u32,
     /// Mean run time of recent tasks, in microseconds.
     pub mean_run_us: u64,
-    /// Run time against what owners expected, in percent.
+    /// Mean ratio of actual to expected run time, in percent.
     pub slowness_percent: u32,
-    /// Failed runs among the recent ones, in percent.
+    /// Share of failed runs among recent ones, in percent.
     pub failed_percent: u32,
-    /// Whether the gate takes no new work.
+    /// Whether the gate refuses new tasks.
     pub leaving: bool,
 }
 
-/// A sample and when it came.
+/// Load sample with its time of arrival.
 #[derive(Clone, Debug)]
-pub struct Known {
+pub struct KnownLoad {
     /// The sample.
     pub sample: LoadSample,
-    /// Monotonic microseconds at which it arrived here.
+    /// Time of arrival on the monotonic clock, in microseconds.
     pub at_us: u64,
-    /// Place in the order of arrival.
+    /// Sequence number of the arrival.
     arrival: u64,
 }
 
-/// The freshest sample of every gate.
+/// Latest load sample of every gate.
 #[derive(Debug, Default)]
-pub struct LoadBook {
-    known: HashMap<MemberId, Known>,
+pub struct LoadTable {
+    known: HashMap<MemberId, KnownLoad>,
     by_arrival: BTreeMap<u64, MemberId>,
-    arrivals: u64,
-    /// Last arrival that each peer was told of.
-    told: HashMap<MemberId, u64>,
+    last_arrival: u64,
+    /// Last arrival that was sent to each peer.
+    sent: HashMap<MemberId, u64>,
 }
 
-impl LoadBook {
-    /// Takes in samples that arrived at `now_us`; older ones change nothing.
+impl LoadTable {
+    /// Merges samples that arrived at `now_us`; older samples are ignored.
     pub fn merge(&mut self, samples: &[LoadSample], now_us: u64) {
         for sample in samples {
-            self.take(sample, now_us);
+            self.merge_sample(sample, now_us);
         }
     }
 
-    fn take(&mut self, sample: &LoadSample, now_us: u64) {
+    fn merge_sample(&mut self, sample: &LoadSample, now_us: u64) {
         let known = self.known.get(&sample.gate);
         if known.is_some_and(|known| known.sample.number >= sample.number) {
             return;
@@ -73,37 +73,41 @@
         if let Some(known) = known {
             self.by_arrival.remove(&known.arrival);
         }
-        self.arrivals += 1;
-        self.by_arrival.insert(self.arrivals, sample.gate.clone());
-        let known = Known {
+        self.last_arrival += 1;
+        self.by_arrival
+            .insert(self.last_arrival, sample.gate.clone());
+        let known = KnownLoad {
             sample: sample.clone(),
             at_us: now_us,
-            arrival: self.arrivals,
+            arrival: self.last_arrival,
         };
         self.known.insert(sample.gate.clone(), known);
     }
 
-    /// What is known of `gate`.
-    pub fn get(&self, gate: &MemberId) -> Option<&Known> {
+    /// Latest sample of `gate`.
+    pub fn get(&self, gate: &MemberId) -> Option<&KnownLoad> {
         self.known.get(gate)
     }
 
-    /// Forgets a gate that is gone.
-    pub fn forget(&mut self, gate: &MemberId) {
+    /// Removes a gate.
+    pub fn remove(&mut self, gate: &MemberId) {
         if let Some(known) = self.known.remove(gate) {
             self.by_arrival.remove(&known.arrival);
         }
-        self.told.remove(gate);
+        self.sent.remove(gate);
     }
 
-    /// Samples for the next frame to `peer`: the freshest that came since the
-    /// frame before.
+    /// Latest samples for the next frame to `peer`, of those that arrived since the previous
+    /// frame.
     pub fn for_frame(&mut self, peer: &MemberId) -> Vec<LoadSample> {
-        let told = self.told.insert(peer.clone(), self.arrivals).unwrap_or(0);
-        let since = self.by_arrival.range(told + 1..).rev();
-        let of_others = since.filter(|(_, gate)| *gate != peer);
-        let freshest = of_others.take(SAMPLES_PER_FRAME);
-        let samples = freshest.filter_map(|(_, gate)| self.known.get(gate));
+        let sent = self
+            .sent
+            .insert(peer.clone(), self.last_arrival)
+            .unwrap_or(0);
+        let unsent = self.by_arrival.range(sent + 1..).rev();
+        let of_others = unsent.filter(|(_, gate)| *gate != peer);
+        let latest = of_others.take(SAMPLES_PER_FRAME);
+        let samples = latest.filter_map(|(_, gate)| self.known.get(gate));
         samples.map(|known| known.sample.clone()).collect()
     }
 }
--- a/src/member.rs
+++ b/src/member.rs
@@ -216,7 +216,7 @@
 
     /// A run on the target ended.
     pub fn run_ended(&mut self, now: Moment, task: TaskId, result: RunResult) {
-        let actions = self.gate.ended(now, task, result);
+        let actions = self.gate.run_ended(now, task, result);
         self.push_gate(actions);
     }
 
@@ -251,7 +251,7 @@
         let slots = fleet.gates(&self.service).map(|gate| gate.slots).sum();
         self.gate.configure(fleet.config(), slots);
         let rows = (0u32..).zip(&fleet.table().rows);
-        rows.for_each(|(index, row)| self.gate.raise_floor(RangeId(index), row.epoch));
+        rows.for_each(|(index, row)| self.gate.raise_min_epoch(RangeId(index), row.epoch));
     }
 
     fn reconcile(&mut self, now: Moment, fleet: &Fleet) {
@@ -305,7 +305,7 @@
         }
         let lapsed = now.mono_us >= self.ownership.leased_until_us();
         let serves = self.ownership.owns_rows(fleet) && !lapsed;
-        let busy = serves || !self.gate.idle() || !self.owner.idle();
+        let busy = serves || !self.gate.is_idle() || !self.owner.idle();
         if busy || now.mono_us < stopping.since_us + micros(LINGER) {
             return;
         }
@@ -322,7 +322,7 @@
 
     /// Adds the own load to what is told to peers.
     pub fn sample_own_load(&mut self, now: Moment) {
-        let sample = self.gate.sample();
+        let sample = self.gate.sample_load();
         self.owner.note_loads(now, &[sample]);
     }
 
--- a/src/owner/admission.rs
+++ b/src/owner/admission.rs
@@ -317,7 +317,7 @@
 
     fn too_late(&self, fleet: &Fleet, submission: &Submission, kind: &Kind) -> Option<Answer> {
         let wait_ms = self.backlog_ms(fleet, submission);
-        let run_ms = self.run_times.expect(&submission.service, kind) / 1_000;
+        let run_ms = self.run_times.expected_us(&submission.service, kind) / 1_000;
         if self.backlog.is_empty() || wait_ms + run_ms <= submission.budget_ms {
             return None;
         }
@@ -335,9 +335,9 @@
             .sum();
         let owners = fleet.table().gates.len().max(1) as u64;
         let ahead = self.backlog.ahead_of(submission.priority) as u64;
-        let mean_us = self
-            .kind(submission)
-            .map_or(0, |kind| self.run_times.expect(&submission.service, kind));
+        let mean_us = self.kind(submission).map_or(0, |kind| {
+            self.run_times.expected_us(&submission.service, kind)
+        });
         ahead * owners * mean_us / u64::from(slots.max(1)) / 1_000
     }
 
@@ -382,7 +382,7 @@
     fn overloaded(&self, submission: &Submission) -> Answer {
         let text = "more urgent work fills the queue";
         let mean_ms = self.kind(submission).map_or(0, |kind| {
-            self.run_times.expect(&submission.service, kind) / 1_000
+            self.run_times.expected_us(&submission.service, kind) / 1_000
         });
         let answer = Answer::not_run(ResultCode::Overloaded, text);
         answer.retry_after(mean_ms.max(LEAST_RETRY_AFTER_MS))
--- a/src/owner/dispatch.rs
+++ b/src/owner/dispatch.rs
@@ -209,7 +209,7 @@
         else {
             return None;
         };
-        let expected_us = self.run_times.expect(&service, &kind);
+        let expected_us = self.run_times.expected_us(&service, &kind);
         self.placer.sent(now, &gate);
         self.backlog.remove(task);
         let entry = self.entries.get_mut(&task.submission)?;
--- a/src/owner/progress.rs
+++ b/src/owner/progress.rs
@@ -113,7 +113,7 @@
         if let TaskOutcome::Done(_) = outcome {
             let submission = &entry.submission;
             self.run_times
-                .learn(&submission.service, &submission.kind, run_us);
+                .record(&submission.service, &submission.kind, run_us);
         }
         let mut actions = match &mut entry.progress {
             Progress::Recovered { tasks } => {
@@ -259,7 +259,7 @@
             return None;
         };
         let kind = self.kind(&entry.submission)?;
-        let expected_us = self.run_times.expect(&entry.submission.service, kind);
+        let expected_us = self.run_times.expected_us(&entry.submission.service, kind);
         let start = self.start(now, task, *attempt, expected_us)?;
         Some(send(gate, Message::Start(Box::new(start))))
     }
--- a/src/placement.rs
+++ b/src/placement.rs
@@ -17,7 +17,7 @@
 use crate::config::{Config, Placement, Policy};
 use crate::fleet::{Fleet, MemberRecord};
 use crate::id::MemberId;
-use crate::load::{Known, LoadBook, LoadSample};
+use crate::load::{KnownLoad, LoadSample, LoadTable};
 use crate::time::{Moment, micros};
 
 /// A sample may miss what was sent less than this before it came.
@@ -81,7 +81,7 @@
     me: MemberId,
     failure_domain: String,
     config: Arc<Config>,
-    book: LoadBook,
+    book: LoadTable,
     sent: HashMap<MemberId, Sent>,
     ejected: HashMap<MemberId, Ejection>,
     turn: usize,
@@ -122,7 +122,7 @@
             me,
             failure_domain: failure_domain.to_string(),
             config,
-            book: LoadBook::default(),
+            book: LoadTable::default(),
             sent: HashMap::new(),
             ejected: HashMap::new(),
             turn: 0,
@@ -179,7 +179,7 @@
     }
 
     /// What is known of the load of `gate`.
-    pub fn known(&self, gate: &MemberId) -> Option<&Known> {
+    pub fn known(&self, gate: &MemberId) -> Option<&KnownLoad> {
         self.book.get(gate)
     }
 
@@ -204,7 +204,7 @@
 
     /// Forgets a gate that is gone.
     pub fn forget(&mut self, gate: &MemberId) {
-        self.book.forget(gate);
+        self.book.remove(gate);
         self.sent.remove(gate);
         self.ejected.remove(gate);
     }
@@ -351,7 +351,7 @@
 
 /// Load of a target now, as far as it goes before the task; what an old sample
 /// counted has partly finished.
-fn believed_load(now: Moment, known: &Known, slots: u32, urgent: bool) -> f64 {
+fn believed_load(now: Moment, known: &KnownLoad, slots: u32, urgent: bool) -> f64 {
     let sample = &known.sample;
     let queued = if urgent {
         sample.urgent_queued
--- a/src/standin/target.rs
+++ b/src/standin/target.rs
@@ -22,7 +22,7 @@
 
 use crate::error::Result;
 use crate::time::Timer;
-use crate::worker::{LEASE_HEADER, STOPPED, Usage};
+use crate::worker::{LEASE_HEADER, STOPPED_STATUS, Usage};
 
 /// How a target misbehaves.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -243,7 +243,7 @@
         let stopped = self.work(task, run_ms, stop).await;
         self.end(task);
         if stopped {
-            return Ok(respond(STOPPED, Bytes::from_static(b"stopped")));
+            return Ok(respond(STOPPED_STATUS, Bytes::from_static(b"stopped")));
         }
         self.shared.log.finished(record);
         if faults.fails_everything || instructions.fail {
--- a/src/worker.rs
+++ b/src/worker.rs
@@ -1,8 +1,7 @@
-//! The worker behind a gate: how its target runs, renews, slows and stops tasks.
+//! Interface of a gate to its worker, and its HTTP implementation [`HttpWorker`].
 //!
-//! A task runs under a lease. The agent renews it while the task runs; a target
-//! that hears nothing for the length of a lease stops the task, so that nothing
-//! runs on for an agent that is gone. [`HttpWorker`] speaks the targets' HTTP.
+//! A task runs under a lease that the agent renews. A target stops a task whose lease has
+//! expired, so no task outlives its agent for longer than a lease.
 
 use std::future::Future;
 use std::net::SocketAddr;
@@ -24,39 +23,39 @@
 use crate::message::TaskOutcome;
 use crate::time::Timer;
 
-/// Header with the length of a task's lease in milliseconds.
+/// Request header with the duration of a task's lease in milliseconds.
 pub const LEASE_HEADER: &str = "winghold-lease-ms";
-/// Status with which a target answers a task that it stopped.
-pub const STOPPED: StatusCode = StatusCode::GONE;
+/// Response status of a target that stopped the task.
+pub const STOPPED_STATUS: StatusCode = StatusCode::GONE;
 
-/// A task for a worker.
+/// Order to run a task.
 #[derive(Clone, Debug)]
 pub struct Run {
     /// The task.
     pub task: TaskId,
-    /// What the target gets.
+    /// Payload for the target.
     pub payload: Bytes,
-    /// Lease that it runs under.
+    /// Duration of the lease.
     pub lease: Duration,
-    /// Time after which its answer helps nobody.
-    pub limit: Duration,
+    /// Time after which the task is stopped.
+    pub timeout: Duration,
 }
 
-/// What a worker reports of itself, some time ago.
+/// Usage report of a worker.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Usage {
-    /// Tasks that ran.
+    /// Number of running tasks.
     pub running: u32,
-    /// Tasks that ran to their end.
+    /// Number of finished tasks.
     pub finished: u64,
-    /// How old this report is, in milliseconds.
+    /// Age of the report in milliseconds.
     pub age_ms: u64,
 }
 
-/// A call that changes how a running task goes on.
+/// Control command for a running task.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Control {
-    /// Prolong its lease.
+    /// Renew its lease.
     Renew,
     /// Save its state.
     Checkpoint,
@@ -77,24 +76,24 @@
     }
 }
 
-/// Future of a worker's answer.
+/// Future of a worker's reply.
 pub type WorkerFuture<T> = Pin<Box<dyn Future<Output = T> + Send>>;
 
-/// A worker that runs tasks.
+/// Worker that runs tasks.
 pub trait Worker: Send + Sync {
-    /// Runs a task to its end.
+    /// Runs a task to completion.
     fn run(&self, run: Run) -> WorkerFuture<RunResult>;
 
-    /// Changes how a running task goes on.
+    /// Sends a control command for a running task.
     fn control(&self, task: TaskId, control: Control) -> WorkerFuture<()>;
 
-    /// The latest report, if the worker answers.
+    /// Latest usage report, if the worker replies.
     fn usage(&self) -> WorkerFuture<Option<Usage>>;
 }
 
 type HttpClient = Client<HttpConnector, Full<Bytes>>;
 
-/// A target that takes tasks over HTTP.
+/// HTTP client of a target.
 #[derive(Clone)]
 pub struct HttpWorker {
     target: SocketAddr,
@@ -104,7 +103,7 @@
 }
 
 impl HttpWorker {
-    /// The target at `target`, which takes `connections` connections.
+    /// Creates a client of `target` with at most `connections` connections for tasks.
     pub fn new(target: SocketAddr, connections: u32, timer: Timer) -> HttpWorker {
         let mut connector = HttpConnector::new();
         connector.set_nodelay(true);
@@ -123,16 +122,16 @@
         let Ok(_permit) = self.connections.acquire().await else {
             return RunResult::NotConnected;
         };
-        let (task, lease, limit) = (run.task, run.lease, run.limit);
+        let (task, lease, timeout) = (run.task, run.lease, run.timeout);
         let call = self.post(run);
         tokio::pin!(call);
-        let renewals = self.keep_lease(task, lease);
+        let renewals = self.renew_lease(task, lease);
         tokio::pin!(renewals);
         tokio::select! {
             result = &mut call => result,
             () = &mut renewals => RunResult::Ended(TaskOutcome::Lost),
-            () = self.timer.sleep(limit) => {
-                self.call_control(task, Control::Stop).await;
+            () = self.timer.sleep(timeout) => {
+                self.send_control(task, Control::Stop).await;
                 RunResult::Ended(TaskOutcome::Lost)
             }
         }
@@ -156,18 +155,18 @@
         let Ok(body) = reply.into_body().collect().await else {
             return RunResult::Ended(TaskOutcome::Lost);
         };
-        RunResult::Ended(outcome(status, body.to_bytes()))
+        RunResult::Ended(task_outcome(status, body.to_bytes()))
     }
 
-    /// Renews a task's lease for as long as it is polled.
-    async fn keep_lease(&self, task: TaskId, lease: Duration) {
+    /// Renews a task's lease until dropped.
+    async fn renew_lease(&self, task: TaskId, lease: Duration) {
         loop {
             self.timer.sleep(lease / 2).await;
-            self.call_control(task, Control::Renew).await;
+            self.send_control(task, Control::Renew).await;
         }
     }
 
-    async fn call_control(&self, task: TaskId, control: Control) {
+    async fn send_control(&self, task: TaskId, control: Control) {
         let path = task_path(task, control.path());
         let builder = Request::builder().method(Method::POST);
         let builder = builder.uri(format!("http://{}{path}", self.target));
@@ -176,7 +175,7 @@
         }
     }
 
-    async fn get_usage(&self) -> Option<Usage> {
+    async fn fetch_usage(&self) -> Option<Usage> {
         let uri = format!("http://{}/usage", self.target);
         let req = Request::builder().uri(uri).body(Full::default()).ok()?;
         let reply = self.client.request(req).await.ok()?;
@@ -185,15 +184,15 @@
     }
 }
 
-/// Path of a task at its target.
+/// URL path of a task at its target.
 pub fn task_path(task: TaskId, control: &str) -> String {
     format!("/tasks/{}/{}{control}", task.submission, task.index)
 }
 
-fn outcome(status: StatusCode, body: Bytes) -> TaskOutcome {
+fn task_outcome(status: StatusCode, body: Bytes) -> TaskOutcome {
     if status.is_success() {
         TaskOutcome::Done(body)
-    } else if status == STOPPED {
+    } else if status == STOPPED_STATUS {
         TaskOutcome::Stopped
     } else {
         TaskOutcome::Failed {
@@ -211,11 +210,11 @@
 
     fn control(&self, task: TaskId, control: Control) -> WorkerFuture<()> {
         let worker = self.clone();
-        Box::pin(async move { worker.call_control(task, control).await })
+        Box::pin(async move { worker.send_control(task, control).await })
     }
 
     fn usage(&self) -> WorkerFuture<Option<Usage>> {
         let worker = self.clone();
-        Box::pin(async move { worker.get_usage().await })
+        Box::pin(async move { worker.fetch_usage().await })
     }
 }
