--- a/src/agent/mod.rs
+++ b/src/agent/mod.rs
@@ -16,14 +16,14 @@
 
 use crate::config::Config;
 use crate::error::Result;
-use crate::fleet::{Fleet, MemberRecord, News};
+use crate::fleet::{Fleet, FleetChanges, MemberRecord};
 use crate::gate::RunResult;
 use crate::id::{MemberId, TaskId};
-use crate::link::{Distance, LinkEvent, Links, NoDistance};
+use crate::link::{LinkDelay, LinkEvent, Links, NoDelay};
 use crate::member::{Member, MemberAction};
 use crate::message::{Frame, Message};
 use crate::metrics::Metrics;
-use crate::node::{Node, Stimulus, Tally, WatchReply, feed, watch_store};
+use crate::node::{MessageCounters, Node, NodeEvent, WatchReply, forward_events, watch_store};
 use crate::ownership::StoreOp;
 use crate::settings::AgentSettings;
 use crate::store::{Store, StoreError, StoreReply, StoreRequest};
@@ -53,7 +53,7 @@
     /// Where its metrics go.
     pub metrics: Metrics,
     /// Distance to peers.
-    pub distance: Arc<dyn Distance>,
+    pub distance: Arc<dyn LinkDelay>,
     /// Seed of its random choices.
     pub seed: u64,
 }
@@ -74,7 +74,7 @@
             timer,
             log,
             metrics: Metrics::none(),
-            distance: Arc::new(NoDistance),
+            distance: Arc::new(NoDelay),
             seed: rand::random(),
         }
     }
@@ -89,12 +89,12 @@
     Stop,
 }
 
-impl From<Stimulus> for Event {
-    fn from(stimulus: Stimulus) -> Event {
-        match stimulus {
-            Stimulus::Link(event) => Event::Link(event),
-            Stimulus::Tick => Event::Tick,
-            Stimulus::Stop => Event::Stop,
+impl From<NodeEvent> for Event {
+    fn from(event: NodeEvent) -> Event {
+        match event {
+            NodeEvent::Link(event) => Event::Link(event),
+            NodeEvent::Tick => Event::Tick,
+            NodeEvent::Stop => Event::Stop,
         }
     }
 }
@@ -168,8 +168,8 @@
     }
 
     /// Counts of its messages.
-    pub fn tally(&self) -> Arc<Tally> {
-        self.core.node.tally.clone()
+    pub fn message_counters(&self) -> Arc<MessageCounters> {
+        self.core.node.message_counters.clone()
     }
 
     /// Runs until `stop`, then leaves the fleet in order.
@@ -195,7 +195,7 @@
                 Ok(())
             }
         });
-        tokio::spawn(feed(timer, self.link_events, stop, tx));
+        tokio::spawn(forward_events(timer, self.link_events, stop, tx));
         tree.vital("core", core.run(self.events));
         tree.run().await
     }
@@ -253,7 +253,7 @@
     /// Sends what collected; messages to this process itself come first.
     fn flush(&mut self, now: Moment) {
         loop {
-            let own = self.node.take_own();
+            let own = self.node.take_local_messages();
             if own.is_empty() {
                 break;
             }
@@ -263,7 +263,7 @@
                 self.apply(now);
             }
         }
-        if !self.node.has_mail() {
+        if !self.node.has_outgoing() {
             return;
         }
         self.member.sample_own_load(now);
@@ -277,7 +277,7 @@
             LinkEvent::Up(member) => {
                 self.member.link_up(now, &member);
                 if self.node.fleet.config_revision() == 0 {
-                    self.node.ask_snapshot(now, &member);
+                    self.node.request_snapshot(now, &member);
                 }
             }
             LinkEvent::Down(member) => self.redial(&member),
@@ -288,13 +288,13 @@
     }
 
     fn redial(&mut self, member: &MemberId) {
-        if let Some(record) = self.node.fleet.record_of(member) {
+        if let Some(record) = self.node.fleet.member_record(member) {
             self.node.links.dial(member, record.peer);
         }
     }
 
     fn on_frame(&mut self, now: Moment, frame: Frame) {
-        self.node.take_header(now, &frame.from, &frame.header);
+        self.node.check_header(now, &frame.from, &frame.header);
         let fleet = &self.node.fleet;
         self.member
             .heard_clock(now, fleet, &frame.from, frame.header.wall_ms);
@@ -312,7 +312,7 @@
                 self.node.send(from, Message::Snapshot(snapshot));
             }
             Message::Snapshot(snapshot) => {
-                let news = self.node.take_snapshot(*snapshot);
+                let news = self.node.apply_snapshot(*snapshot);
                 self.on_news(now, news);
             }
             Message::RowsRequest {
@@ -331,7 +331,7 @@
         match reply {
             Ok(StoreReply::Entries { revision, entries }) => {
                 self.member.ownership.synced(now);
-                let news = self.node.take_entries(revision, &entries);
+                let news = self.node.apply_entries(revision, &entries);
                 self.on_news(now, news);
             }
             _ => {
@@ -341,7 +341,7 @@
         }
     }
 
-    fn on_news(&mut self, now: Moment, news: News) {
+    fn on_news(&mut self, now: Moment, news: FleetChanges) {
         self.member.on_news(now, &self.node.fleet, news);
         if news.table || news.members {
             self.dial_members();
@@ -372,9 +372,9 @@
                 }
                 MemberAction::Store { op, request } => self.call_store(op, request),
                 MemberAction::Table(table) => {
-                    let news = News {
-                        table: self.node.fleet.take_table(table),
-                        ..News::default()
+                    let news = FleetChanges {
+                        table: self.node.fleet.apply_table(table),
+                        ..FleetChanges::default()
                     };
                     self.on_news(now, news);
                     self.apply(now);
--- a/src/agent/rows.rs
+++ b/src/agent/rows.rs
@@ -133,13 +133,13 @@
     }
 
     fn member_row(&self, now: Moment) -> Value {
-        let counts = self.node.tally.read();
+        let counts = self.node.message_counters.read();
         let leased_us = self.member.ownership.leased_until_us();
         json!({
             "name": self.node.me.name,
             "run": format!("{:08x}", self.node.me.run as u32),
             "role": "agent",
-            "peer": self.node.fleet.record_of(&self.node.me).map(|record| record.peer.to_string()),
+            "peer": self.node.fleet.member_record(&self.node.me).map(|record| record.peer.to_string()),
             "failure_domain": self.settings.process.failure_domain,
             "config": self.node.fleet.config_revision(),
             "table": self.node.fleet.table().revision,
--- a/src/bench/fault.rs
+++ b/src/bench/fault.rs
@@ -147,7 +147,7 @@
             for host in fleet.hosts() {
                 history.saw(ConfigSeen {
                     process: host.run_name(),
-                    revision: host.tally.config_revision(),
+                    revision: host.message_counters.config_revision(),
                     at_us,
                 });
             }
--- a/src/bench/slope_fleet.rs
+++ b/src/bench/slope_fleet.rs
@@ -6,7 +6,7 @@
 use bytes::Bytes;
 
 use crate::config::Config;
-use crate::fleet::{ConfigRecord, Fleet, Holder, MemberRecord, Passage, Row, Table};
+use crate::fleet::{Acquisition, ConfigRecord, Fleet, Holder, MemberRecord, Row, Table};
 use crate::gate::{Gate, GateAction, GateSettings, RunResult};
 use crate::id::{Epoch, MemberId, RangeId, SubmissionId, TaskId};
 use crate::load::LoadSample;
@@ -62,7 +62,7 @@
             session: 1,
         },
         epoch: Epoch(3),
-        passage: Passage::HandedOver,
+        acquisition: Acquisition::HandedOver,
         departure_ms: WALL_MS,
         since_ms: WALL_MS,
     };
@@ -131,19 +131,19 @@
     pub fn new(members: usize, ranges: u32) -> SlopeFleet {
         let mut fleet = Fleet::new(Config::empty());
         let text = format!("{}ownership: {{ ranges: {ranges} }}\n", document(2));
-        fleet.take_config(ConfigRecord {
+        fleet.apply_config(ConfigRecord {
             revision: 1,
             document: text,
             drained: Vec::new(),
             evacuated: Vec::new(),
             changes: Vec::new(),
         });
-        fleet.take_members(5, (0..members).map(record).collect());
+        fleet.apply_members(5, (0..members).map(record).collect());
         let mut table = table(ranges, members);
         for row in &mut table.rows {
-            row.passage = Passage::First;
+            row.acquisition = Acquisition::First;
         }
-        fleet.take_table(table);
+        fleet.apply_table(table);
         let me = member(members + 1);
         let mut own = (**fleet.table()).clone();
         own.revision += 1;
@@ -155,7 +155,7 @@
             .iter_mut()
             .for_each(|row| row.owner = holder.clone());
         let mut owned = fleet.clone();
-        owned.take_table(own);
+        owned.apply_table(own);
         let mut owner = Owner::new(me.clone(), "a", fleet.config().clone(), 1);
         owner.leased_until(u64::MAX);
         owner.reconcile(moment(), &owned, Some(&holder));
@@ -182,7 +182,7 @@
 
     fn submit(&mut self, number: usize) -> Vec<OwnerAction> {
         let id = id(number);
-        let mut submission = Submission::question(id, 3_600_000);
+        let mut submission = Submission::id_only(id, 3_600_000);
         submission.service = Arc::from("s");
         submission.kind = Arc::from("k");
         submission.priority = 1;
--- a/src/bench/slopes.rs
+++ b/src/bench/slopes.rs
@@ -17,9 +17,9 @@
 use crate::error::{Error, Result};
 use crate::fleet::{Change, ConfigRecord, Table};
 use crate::id::{MemberId, SubmissionId, TaskId};
-use crate::link::{Links, NoDistance};
+use crate::link::{Links, NoDelay};
 use crate::load::LoadSample;
-use crate::message::{Answer, Ask, Frame, Header, Message, Submission, TaskOutcome};
+use crate::message::{Answer, Frame, Header, Message, Operation, Submission, TaskOutcome};
 use crate::ownership::Plan;
 use crate::placement::{Placer, Want};
 use crate::time::{Moment, Timer};
@@ -276,7 +276,7 @@
             let records = values
                 .iter()
                 .filter_map(|value| serde_json::from_slice(value).ok());
-            fleet.fleet.take_members(revision, records.collect());
+            fleet.fleet.apply_members(revision, records.collect());
         })
     };
     MEMBERS
@@ -498,7 +498,7 @@
 
 async fn make_links(count: usize) -> Result<Vec<Links>> {
     let timer = Timer::start();
-    let distance = Arc::new(NoDistance);
+    let distance = Arc::new(NoDelay);
     let hub_id = MemberId::new("hub", 1);
     let (tx, mut events) = tokio::sync::mpsc::unbounded_channel();
     let hub = Links::new(hub_id.clone(), timer.clone(), distance.clone(), tx);
@@ -524,7 +524,7 @@
 pub(crate) fn answer_message(id: SubmissionId, results: Vec<Bytes>) -> Message {
     Message::Answer {
         id,
-        about: Ask::Submit,
+        about: Operation::Submit,
         answer: Answer::complete(results),
     }
 }
@@ -532,7 +532,7 @@
 /// Bytes of a job's way between entry and owner, there and back.
 pub fn job_bytes(tasks: usize) -> f64 {
     let id = SubmissionId::mint(1, 1);
-    let mut submission = Submission::question(id, 10_000);
+    let mut submission = Submission::id_only(id, 10_000);
     submission.tasks = vec![slope_fleet::payload(); tasks];
     let there = frame_bytes(vec![Message::Submit(Box::new(submission))], vec![]);
     let back = frame_bytes(
--- a/src/bench/throughput.rs
+++ b/src/bench/throughput.rs
@@ -121,8 +121,11 @@
         let worker = Arc::new(Nothing);
         let parts = AgentParts::new(settings, store, worker, timer, logging::discard());
         let agent = Agent::bind(parts).await?;
-        let (addr, tally) = (agent.addr(), agent.tally());
-        let _ = ready.send(Ready { addr, tally });
+        let (addr, message_counters) = (agent.addr(), agent.message_counters());
+        let _ = ready.send(Ready {
+            addr,
+            message_counters,
+        });
         agent.run(stop).await
     })
 }
--- a/src/config_store.rs
+++ b/src/config_store.rs
@@ -9,7 +9,7 @@
 
 use crate::config::Config;
 use crate::error::{Error, Result};
-use crate::fleet::{CHANGES_KEPT, CONFIG_KEY, Change, ConfigRecord};
+use crate::fleet::{CONFIG_KEY, Change, ConfigRecord, MAX_CHANGES};
 use crate::store::{Expect, Store, StoreEntry, StoreError, StoreReply, StoreRequest};
 use crate::time::Timer;
 
@@ -186,7 +186,7 @@
         note: proposal.note.clone(),
         difference: difference.chars().take(DIFFERENCE_KEPT).collect(),
     });
-    let surplus = next.changes.len().saturating_sub(CHANGES_KEPT);
+    let surplus = next.changes.len().saturating_sub(MAX_CHANGES);
     next.changes.drain(..surplus);
     Ok(next)
 }
--- a/src/entry/http.rs
+++ b/src/entry/http.rs
@@ -24,7 +24,7 @@
 use crate::entry::{Handle, operator};
 use crate::error::Result;
 use crate::id::SubmissionId;
-use crate::message::{Answer, Ask, Submission};
+use crate::message::{Answer, Operation, Submission};
 use crate::supervisor::Stop;
 
 /// Header with the id of a submission on its answer.
@@ -135,8 +135,10 @@
         (&Method::POST, ["v1", "services", service, "jobs"]) => {
             submit(handle, service, req, true).await
         }
-        (&Method::GET, ["v1", "jobs", id]) => about(handle, Ask::Lookup, id).await,
-        (&Method::DELETE, ["v1", "jobs" | "requests", id]) => about(handle, Ask::Cancel, id).await,
+        (&Method::GET, ["v1", "jobs", id]) => about(handle, Operation::Lookup, id).await,
+        (&Method::DELETE, ["v1", "jobs" | "requests", id]) => {
+            about(handle, Operation::Cancel, id).await
+        }
         (&Method::GET, ["v1", "ready"]) => ready(handle),
         (_, ["v1", "operator", rest @ ..]) => operator::route(handle, &method, rest, req).await,
         _ => refused(
@@ -209,7 +211,7 @@
 async fn wait(handle: &Handle, parsed: Parsed) -> Reply {
     let Parsed { submission, fresh } = parsed;
     let (id, is_job) = (submission.id, submission.is_job);
-    let answer = handle.ask(Ask::Submit, submission, fresh).await;
+    let answer = handle.ask(Operation::Submit, submission, fresh).await;
     reply(id, is_job, &answer.unwrap_or_else(stopped))
 }
 
@@ -221,17 +223,17 @@
         tasks: Vec::new(),
         ..submission.clone()
     };
-    handle.tell(Ask::Submit, submission, fresh);
-    let answer = handle.ask(Ask::Lookup, question, false).await;
+    handle.tell(Operation::Submit, submission, fresh);
+    let answer = handle.ask(Operation::Lookup, question, false).await;
     reply(id, true, &answer.unwrap_or_else(stopped))
 }
 
-async fn about(handle: &Handle, ask: Ask, id: &str) -> Reply {
+async fn about(handle: &Handle, ask: Operation, id: &str) -> Reply {
     let id = match parse::parse_id(id) {
         Ok(id) => id,
         Err(answer) => return refused(None, &answer),
     };
-    let question = Submission::question(id, handle.view().config.limits.deadline_ms.min(10_000));
+    let question = Submission::id_only(id, handle.view().config.limits.deadline_ms.min(10_000));
     let answer = handle.ask(ask, question, false).await;
     reply(id, true, &answer.unwrap_or_else(stopped))
 }
--- a/src/entry/mod.rs
+++ b/src/entry/mod.rs
@@ -20,13 +20,13 @@
 
 use crate::config::Config;
 use crate::error::Result;
-use crate::fleet::{Fleet, News};
+use crate::fleet::{Fleet, FleetChanges};
 use crate::id::{MemberId, SubmissionId};
-use crate::link::{Distance, LinkEvent, Links, NoDistance};
+use crate::link::{LinkDelay, LinkEvent, Links, NoDelay};
 use crate::load::LoadTable;
-use crate::message::{Answer, Ask, Message, Submission};
+use crate::message::{Answer, Message, Operation, Submission};
 use crate::metrics::Metrics;
-use crate::node::{Node, Stimulus, Tally, WatchReply, feed, watch_store};
+use crate::node::{MessageCounters, Node, NodeEvent, WatchReply, forward_events, watch_store};
 use crate::router::{Router, RouterAction};
 use crate::settings::EntrySettings;
 use crate::store::{Store, StoreReply};
@@ -54,7 +54,7 @@
     /// Where its metrics go.
     pub metrics: Metrics,
     /// Distance to peers.
-    pub distance: Arc<dyn Distance>,
+    pub distance: Arc<dyn LinkDelay>,
 }
 
 impl EntryParts {
@@ -71,7 +71,7 @@
             timer,
             log,
             metrics: Metrics::none(),
-            distance: Arc::new(NoDistance),
+            distance: Arc::new(NoDelay),
         }
     }
 }
@@ -88,7 +88,7 @@
 
 /// A question from an HTTP handler to the loop.
 pub(crate) struct Question {
-    pub ask: Ask,
+    pub ask: Operation,
     pub submission: Submission,
     pub fresh: bool,
     /// Where the answer goes; `None` for a submission that nobody waits for.
@@ -111,12 +111,12 @@
     Stop,
 }
 
-impl From<Stimulus> for Event {
-    fn from(stimulus: Stimulus) -> Event {
-        match stimulus {
-            Stimulus::Link(event) => Event::Link(event),
-            Stimulus::Tick => Event::Tick,
-            Stimulus::Stop => Event::Stop,
+impl From<NodeEvent> for Event {
+    fn from(event: NodeEvent) -> Event {
+        match event {
+            NodeEvent::Link(event) => Event::Link(event),
+            NodeEvent::Tick => Event::Tick,
+            NodeEvent::Stop => Event::Stop,
         }
     }
 }
@@ -139,7 +139,7 @@
 
 impl Handle {
     /// Asks and waits for the answer.
-    pub async fn ask(&self, ask: Ask, submission: Submission, fresh: bool) -> Option<Answer> {
+    pub async fn ask(&self, ask: Operation, submission: Submission, fresh: bool) -> Option<Answer> {
         let (tx, rx) = oneshot::channel();
         let reply = Some(tx);
         let question = Question {
@@ -153,7 +153,7 @@
     }
 
     /// Asks without waiting.
-    pub fn tell(&self, ask: Ask, submission: Submission, fresh: bool) {
+    pub fn tell(&self, ask: Operation, submission: Submission, fresh: bool) {
         let reply = None;
         let question = Question {
             ask,
@@ -270,8 +270,8 @@
     }
 
     /// Counts of its messages.
-    pub fn tally(&self) -> Arc<Tally> {
-        self.core.node.tally.clone()
+    pub fn message_counters(&self) -> Arc<MessageCounters> {
+        self.core.node.message_counters.clone()
     }
 
     /// Where peers reach it.
@@ -305,7 +305,12 @@
                 Ok(())
             }
         });
-        tokio::spawn(feed(timer, self.link_events, stop, handle.tx.clone()));
+        tokio::spawn(forward_events(
+            timer,
+            self.link_events,
+            stop,
+            handle.tx.clone(),
+        ));
         let serving = tokio::spawn(http::serve(self.http_listener, handle, http_stop));
         tree.vital("core", async move {
             core.run(self.events, http_stopper).await;
@@ -413,7 +418,7 @@
     fn on_link(&mut self, now: Moment, event: LinkEvent) {
         match event {
             LinkEvent::Frame(frame) => {
-                self.node.take_header(now, &frame.from, &frame.header);
+                self.node.check_header(now, &frame.from, &frame.header);
                 self.loads.merge(&frame.header.loads, now.mono_us);
                 for message in frame.messages {
                     self.on_message(now, &frame.from, message);
@@ -423,7 +428,7 @@
                 let actions = self.router.link_up(now, &self.node.fleet, &member);
                 self.apply(actions);
                 if self.node.fleet.config_revision() == 0 {
-                    self.node.ask_snapshot(now, &member);
+                    self.node.request_snapshot(now, &member);
                 }
             }
             LinkEvent::Down(member) => self.router.link_down(&member),
@@ -445,7 +450,7 @@
                 self.node.send(from, Message::Snapshot(snapshot));
             }
             Message::Snapshot(snapshot) => {
-                let news = self.node.take_snapshot(*snapshot);
+                let news = self.node.apply_snapshot(*snapshot);
                 self.on_news(now, news);
             }
             Message::Rows { request, rows } => self.on_rows(request, rows),
@@ -457,7 +462,7 @@
         match reply {
             Ok(StoreReply::Entries { revision, entries }) => {
                 self.router.store_down(false);
-                let news = self.node.take_entries(revision, &entries);
+                let news = self.node.apply_entries(revision, &entries);
                 self.on_news(now, news);
             }
             _ => {
@@ -467,7 +472,7 @@
         }
     }
 
-    fn on_news(&mut self, now: Moment, news: News) {
+    fn on_news(&mut self, now: Moment, news: FleetChanges) {
         if news.config || news.table {
             self.publish();
         }
@@ -514,7 +519,7 @@
         if table != "members" {
             return Vec::new();
         }
-        let counts = self.node.tally.read();
+        let counts = self.node.message_counters.read();
         let row = serde_json::json!([{
             "name": self.node.me.name,
             "run": format!("{:08x}", self.node.me.run as u32),
--- a/src/fleet.rs
+++ b/src/fleet.rs
@@ -1,8 +1,7 @@
-//! What every process knows of the fleet: members, key ranges, configuration.
+//! A process's view of the fleet: members, key ranges and configuration.
 //!
-//! Each of the three has a revision from the store and is only ever replaced
-//! by a higher one, so it does not matter whether news comes from a watch or
-//! from a peer.
+//! Each of the three has a store revision and is replaced only by a higher one, so updates
+//! from a watch and from peers may arrive in any order.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -13,45 +12,45 @@
 use crate::config::Config;
 use crate::id::{Epoch, MemberId, RangeId};
 
-/// Key of the configuration in the store.
+/// Store key of the configuration.
 pub const CONFIG_KEY: &str = "winghold/config";
-/// Key of the table of key ranges in the store.
+/// Store key of the table of key ranges.
 pub const TABLE_KEY: &str = "winghold/ranges";
-/// Prefix of the members' records in the store.
+/// Prefix of the store keys of member records.
 pub const MEMBER_PREFIX: &str = "winghold/members/";
-/// Prefix of everything that winghold keeps in the store.
+/// Prefix of all store keys of winghold.
 pub const PREFIX: &str = "winghold/";
 
-/// What a gate says about itself; lives in the store under its lease.
+/// A member's record in the store, written under the member's lease.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberRecord {
-    /// The process.
+    /// Process id.
     pub id: MemberId,
-    /// Count of the leases that this process has held.
+    /// Number of leases that the process has held, including this one.
     pub session: u32,
-    /// Where peers reach it.
+    /// Address for peers.
     pub peer: SocketAddr,
     /// Failure domain.
     pub failure_domain: String,
     /// Rack.
     pub rack: String,
-    /// Service of its target.
+    /// Service of the target.
     pub service: String,
-    /// Tasks that its target runs at once.
+    /// Number of tasks that the target runs concurrently.
     pub slots: u32,
-    /// Accelerators of its target's worker.
+    /// Number of accelerators of the target's worker.
     pub accelerators: u32,
-    /// Whether it is leaving.
+    /// Whether the process is leaving the fleet.
     pub leaving: bool,
 }
 
 impl MemberRecord {
-    /// Whether it holds the lease that `holder` names.
+    /// Whether `holder` is this member with its current lease.
     pub fn holds(&self, holder: &Holder) -> bool {
         self.id == holder.member && self.session == holder.session
     }
 
-    /// The holder that this record stands for.
+    /// This member with its current lease.
     pub fn holder(&self) -> Holder {
         Holder {
             member: self.id.clone(),
@@ -65,61 +64,62 @@
 pub struct Holder {
     /// The member.
     pub member: MemberId,
-    /// Its lease.
+    /// Number of the lease.
     pub session: u32,
 }
 
-/// How a range came to its owner.
+/// How an owner acquired its range.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Passage {
-    /// It never had an owner.
+pub enum Acquisition {
+    /// The range had no owner before.
     First,
-    /// The owner before handed it over.
+    /// The previous owner handed it over.
     HandedOver,
-    /// The same process got a new lease, and nobody held it in between.
+    /// The same process has a new lease, and no other process owned the range in between.
     Resumed,
-    /// The owner before is gone.
+    /// The previous owner has left the fleet.
     TakenOver,
 }
 
-/// One key range in the table.
+/// Table row of one key range.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Row {
-    /// Who owns it.
+    /// Owner.
     pub owner: Holder,
-    /// Raised with every change of owner.
+    /// Incremented at each change of owner.
     pub epoch: Epoch,
-    /// How it came to its owner.
-    pub passage: Passage,
-    /// Wall clock by which a gate other than the owner's was lost or left;
-    /// what older ids started there cannot be recovered.
+    /// How the owner acquired the range.
+    #[serde(rename = "passage")]
+    pub acquisition: Acquisition,
+    /// Wall clock of the last departure of a gate other than the owner's; starts of older ids
+    /// there can't be recovered.
     pub departure_ms: u64,
-    /// Wall clock by which its owner got it; the owner's gate may hold tasks
-    /// that an owner before started there.
+    /// Wall clock at which the owner acquired the range; its gate may hold tasks that a
+    /// previous owner started there.
     #[serde(default)]
     pub since_ms: u64,
 }
 
-/// The table of key ranges.
+/// Table of key ranges.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Table {
-    /// Revision of the store at which it was written; 0 before the first.
+    /// Store revision of the table; 0 if there is none yet.
     #[serde(default)]
     pub revision: u64,
     /// One row for each range.
     pub rows: Vec<Row>,
-    /// Gates on which owners may start tasks.
+    /// Gates at which owners may start tasks.
     pub gates: Vec<MemberId>,
 }
 
 impl Table {
-    /// The row of `range`.
+    /// Row of `range`.
     pub fn row(&self, range: RangeId) -> Option<&Row> {
         self.rows.get(range.0 as usize)
     }
 
-    /// Number of rows that `member` owns.
-    pub fn owned_by(&self, member: &MemberId) -> usize {
+    /// Number of ranges that `member` owns.
+    pub fn owned_count(&self, member: &MemberId) -> usize {
         self.rows
             .iter()
             .filter(|row| row.owner.member == *member)
@@ -127,68 +127,68 @@
     }
 }
 
-/// The configuration with its trail of changes, as it lies in the store.
+/// Configuration and its change history, as stored.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ConfigRecord {
-    /// Revision of the document; 1 is the first.
+    /// Revision of the document, from 1.
     pub revision: u64,
-    /// The YAML document.
+    /// YAML document.
     pub document: String,
-    /// Names of targets that operators drain.
+    /// Names of drained targets.
     #[serde(default)]
     pub drained: Vec<String>,
-    /// Failure domains that operators have evacuated.
+    /// Evacuated failure domains.
     #[serde(default)]
     pub evacuated: Vec<String>,
-    /// The latest changes, oldest first.
+    /// Latest changes, oldest first.
     pub changes: Vec<Change>,
 }
 
-/// Most changes that are kept with the configuration.
-pub const CHANGES_KEPT: usize = 1_000;
+/// Maximum number of changes in the history.
+pub const MAX_CHANGES: usize = 1_000;
 
-/// One accepted change of the configuration.
+/// Accepted change of the configuration.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Change {
-    /// Revision that it made.
+    /// Resulting revision.
     pub revision: u64,
-    /// Names the change, so that a lost answer can be read back.
+    /// Unique id of the change; a client whose answer was lost finds its change by it.
     pub change_id: String,
-    /// Who made it.
+    /// Author.
     pub who: String,
-    /// Wall clock in milliseconds since the Unix epoch.
+    /// Time in milliseconds since the Unix epoch.
     pub at_ms: u64,
-    /// What it was for.
+    /// Author's note.
     pub note: String,
-    /// Lines taken out and put in.
+    /// Removed and added lines.
     pub difference: String,
 }
 
-/// Everything that a process knows of the fleet, as sent to a peer.
+/// A process's view of the fleet, as sent to a peer.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Snapshot {
     /// The configuration, if known.
     pub config: Option<ConfigRecord>,
     /// The table of key ranges, if known.
     pub table: Option<Table>,
-    /// Revision of the store at which the members were read.
+    /// Store revision at which the members were read.
     pub members_revision: u64,
-    /// The members.
+    /// Members.
     pub members: Vec<MemberRecord>,
 }
 
-/// What changed when news was taken in.
+/// Which parts of the view an update changed.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct News {
-    /// The configuration.
+pub struct FleetChanges {
+    /// Whether the configuration changed.
     pub config: bool,
-    /// The table.
+    /// Whether the table changed.
     pub table: bool,
-    /// The members.
+    /// Whether the members changed.
     pub members: bool,
 }
 
-/// What this process knows of the fleet.
+/// This process's view of the fleet.
 #[derive(Clone, Debug)]
 pub struct Fleet {
     record: Option<Arc<ConfigRecord>>,
@@ -196,13 +196,12 @@
     table: Arc<Table>,
     members_revision: u64,
     members: BTreeMap<MemberId, MemberRecord>,
-    /// Gates of the table whose records vanished from the store; a lapsed
-    /// lease does not mean that the process is gone.
-    remembered: BTreeMap<MemberId, MemberRecord>,
+    /// Gates of the table whose store record has expired; their process may still run.
+    expired_gates: BTreeMap<MemberId, MemberRecord>,
 }
 
 impl Fleet {
-    /// Knows nothing but a configuration to start from.
+    /// Creates an empty view with an initial configuration.
     pub fn new(config: Config) -> Fleet {
         Fleet {
             record: None,
@@ -210,43 +209,42 @@
             table: Arc::new(Table::default()),
             members_revision: 0,
             members: BTreeMap::new(),
-            remembered: BTreeMap::new(),
+            expired_gates: BTreeMap::new(),
         }
     }
 
-    /// The configuration in force.
+    /// Current configuration.
     pub fn config(&self) -> &Arc<Config> {
         &self.config
     }
 
-    /// Its revision; 0 if none came from the store yet.
+    /// Revision of the current configuration; 0 if none was received yet.
     pub fn config_revision(&self) -> u64 {
         self.record.as_ref().map_or(0, |record| record.revision)
     }
 
-    /// The record in force.
+    /// Record of the current configuration.
     pub fn record(&self) -> Option<&Arc<ConfigRecord>> {
         self.record.as_ref()
     }
 
-    /// The table of key ranges.
+    /// Table of key ranges.
     pub fn table(&self) -> &Arc<Table> {
         &self.table
     }
 
-    /// The members by id.
+    /// Members by id.
     pub fn members(&self) -> &BTreeMap<MemberId, MemberRecord> {
         &self.members
     }
 
-    /// Whether operators want no new work for a member's target: they drain it, or have
-    /// evacuated its failure domain.
-    pub fn bars(&self, record: &MemberRecord) -> bool {
+    /// Whether a member's target is drained or its failure domain evacuated.
+    pub fn is_excluded(&self, record: &MemberRecord) -> bool {
         self.config.bars(&record.id.name, &record.failure_domain)
     }
 
-    /// Puts a configuration in force, unless it is older than the present one.
-    pub fn take_config(&mut self, record: ConfigRecord) -> bool {
+    /// Applies a configuration if it is valid and newer; returns whether it did.
+    pub fn apply_config(&mut self, record: ConfigRecord) -> bool {
         if record.revision <= self.config_revision() {
             return false;
         }
@@ -260,19 +258,19 @@
         true
     }
 
-    /// Takes a table, unless it is older than the present one.
-    pub fn take_table(&mut self, table: Table) -> bool {
+    /// Applies a table if it is newer; returns whether it did.
+    pub fn apply_table(&mut self, table: Table) -> bool {
         if table.revision <= self.table.revision {
             return false;
         }
         let gates = &table.gates;
-        self.remembered.retain(|id, _| gates.contains(id));
+        self.expired_gates.retain(|id, _| gates.contains(id));
         self.table = Arc::new(table);
         true
     }
 
-    /// Takes the list of members that the store held at `revision`.
-    pub fn take_members(&mut self, revision: u64, members: Vec<MemberRecord>) -> bool {
+    /// Applies the members read at store `revision`; returns whether they changed.
+    pub fn apply_members(&mut self, revision: u64, members: Vec<MemberRecord>) -> bool {
         if revision <= self.members_revision {
             return false;
         }
@@ -282,39 +280,39 @@
             .map(|record| (record.id.clone(), record));
         let members: BTreeMap<_, _> = by_id.collect();
         let changed = members != self.members;
-        let before = std::mem::replace(&mut self.members, members);
+        let previous = std::mem::replace(&mut self.members, members);
         let gates = &self.table.gates;
-        let vanished = before.into_iter().filter(|(id, _)| gates.contains(id));
-        self.remembered.extend(vanished);
+        let expired = previous.into_iter().filter(|(id, _)| gates.contains(id));
+        self.expired_gates.extend(expired);
         changed
     }
 
-    /// The record of `member`, even if its lease has just lapsed.
-    pub fn record_of(&self, member: &MemberId) -> Option<&MemberRecord> {
+    /// Record of `member`, including a gate whose store record has expired.
+    pub fn member_record(&self, member: &MemberId) -> Option<&MemberRecord> {
         self.members
             .get(member)
-            .or_else(|| self.remembered.get(member))
+            .or_else(|| self.expired_gates.get(member))
     }
 
-    /// The gates on which owners may start tasks of `service`.
+    /// Gates at which owners may start tasks of `service`.
     pub fn gates<'f>(&'f self, service: &'f str) -> impl Iterator<Item = &'f MemberRecord> {
         let gates = self.table.gates.iter();
-        let records = gates.filter_map(|id| self.record_of(id));
+        let records = gates.filter_map(|id| self.member_record(id));
         records.filter(move |record| record.service == service)
     }
 
-    /// Takes whatever of a peer's snapshot is newer.
-    pub fn take_snapshot(&mut self, snapshot: Snapshot) -> News {
-        News {
+    /// Applies the newer parts of a peer's snapshot.
+    pub fn apply_snapshot(&mut self, snapshot: Snapshot) -> FleetChanges {
+        FleetChanges {
             config: snapshot
                 .config
-                .is_some_and(|record| self.take_config(record)),
-            table: snapshot.table.is_some_and(|table| self.take_table(table)),
-            members: self.take_members(snapshot.members_revision, snapshot.members),
+                .is_some_and(|record| self.apply_config(record)),
+            table: snapshot.table.is_some_and(|table| self.apply_table(table)),
+            members: self.apply_members(snapshot.members_revision, snapshot.members),
         }
     }
 
-    /// Everything that this process knows.
+    /// Snapshot of this view for a peer.
     pub fn snapshot(&self) -> Snapshot {
         Snapshot {
             config: self.record.as_deref().cloned(),
--- a/src/host.rs
+++ b/src/host.rs
@@ -11,7 +11,7 @@
 use tokio::sync::oneshot;
 
 use crate::error::{Error, Result};
-use crate::node::Tally;
+use crate::node::MessageCounters;
 use crate::supervisor::{Stop, Stopper};
 
 /// What a process tells when it is ready.
@@ -19,7 +19,7 @@
     /// Where it can be reached.
     pub addr: SocketAddr,
     /// Counts of its messages.
-    pub tally: Arc<Tally>,
+    pub message_counters: Arc<MessageCounters>,
 }
 
 /// A process of the fleet, as a thread.
@@ -29,7 +29,7 @@
     /// Where it can be reached: HTTP for entries, peers for agents.
     pub addr: SocketAddr,
     /// Counts of its messages.
-    pub tally: Arc<Tally>,
+    pub message_counters: Arc<MessageCounters>,
     stopper: Stopper,
     kill: Option<oneshot::Sender<()>>,
     freeze: UnboundedSender<Duration>,
@@ -54,7 +54,7 @@
         Ok(Host {
             name: name.to_string(),
             addr: ready.addr,
-            tally: ready.tally,
+            message_counters: ready.message_counters,
             stopper,
             kill: Some(kill),
             freeze,
--- a/src/link.rs
+++ b/src/link.rs
@@ -1,9 +1,8 @@
-//! Streams of frames between processes.
+//! Links between processes: bidirectional gRPC streams of frames.
 //!
-//! Either side may dial; whichever stream is up carries frames both ways. A
-//! stream opens with an empty frame from each side, which names the processes.
-//! A stream that breaks loses what was under way, and the state machines send
-//! again what matters. Dialing goes on until the member is forgotten.
+//! Either side may dial. Each side first sends an empty frame that identifies its process.
+//! Frames in flight are lost when a stream breaks; the state machines resend what they
+//! need. Dialing is retried until the member is removed.
 
 use std::collections::HashMap;
 use std::error::Error as _;
@@ -28,66 +27,65 @@
 use crate::rpc::peer::peer_server::{Peer, PeerServer};
 use crate::time::Timer;
 
-/// Wait between two attempts to dial.
-const REDIAL: Duration = Duration::from_millis(100);
-/// Longest wait for a connection.
-const DIAL_LIMIT: Duration = Duration::from_secs(2);
-/// Largest frame that is taken.
-const FRAME_BYTES: usize = 64 << 20;
+/// Delay between two connection attempts.
+const REDIAL_DELAY: Duration = Duration::from_millis(100);
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
+/// Maximum size of a frame.
+const MAX_FRAME_BYTES: usize = 64 << 20;
 
-/// What happens on links.
+/// Event of a link.
 #[derive(Debug)]
 pub enum LinkEvent {
-    /// A frame came.
+    /// A frame was received.
     Frame(Box<Frame>),
-    /// A member can be reached.
+    /// The first stream to a member is open.
     Up(MemberId),
-    /// A member can no longer be reached.
+    /// The last stream to a member has closed.
     Down(MemberId),
-    /// Nothing listens at a member's address, or another process does: this
-    /// member's process has ended.
+    /// A member's process has ended: its address refuses connections or belongs to another
+    /// process.
     Ended(MemberId),
 }
 
-/// Delay of frames between two processes; the bench uses it for distance.
-pub trait Distance: Send + Sync {
-    /// One-way delay of frames that come from `from`.
+/// Simulated network delay between processes.
+pub trait LinkDelay: Send + Sync {
+    /// One-way delay of frames from `from`.
     fn delay(&self, from: &MemberId) -> Duration;
 }
 
 /// No delay.
 #[derive(Debug)]
-pub struct NoDistance;
+pub struct NoDelay;
 
-impl Distance for NoDistance {
+impl LinkDelay for NoDelay {
     fn delay(&self, _from: &MemberId) -> Duration {
         Duration::ZERO
     }
 }
 
 #[derive(Debug)]
-struct Open {
+struct OpenStream {
     number: u64,
     frames: UnboundedSender<Frame>,
 }
 
 #[derive(Debug, Default)]
-struct Table {
-    links: HashMap<MemberId, Vec<Open>>,
+struct StreamTable {
+    streams: HashMap<MemberId, Vec<OpenStream>>,
     dialed: HashMap<MemberId, SocketAddr>,
-    numbers: u64,
+    last_number: u64,
 }
 
 struct Shared {
     me: MemberId,
     timer: Timer,
-    distance: Arc<dyn Distance>,
+    link_delay: Arc<dyn LinkDelay>,
     events: UnboundedSender<LinkEvent>,
-    table: Mutex<Table>,
+    table: Mutex<StreamTable>,
 }
 
 impl Shared {
-    fn table(&self) -> MutexGuard<'_, Table> {
+    fn table(&self) -> MutexGuard<'_, StreamTable> {
         self.table.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
@@ -99,43 +97,43 @@
         }
     }
 
-    fn tell(&self, event: LinkEvent) {
+    fn notify(&self, event: LinkEvent) {
         let _ = self.events.send(event);
     }
 
-    fn opened(&self, member: &MemberId, frames: UnboundedSender<Frame>) -> u64 {
+    fn add_stream(&self, member: &MemberId, frames: UnboundedSender<Frame>) -> u64 {
         let mut table = self.table();
-        table.numbers += 1;
-        let number = table.numbers;
-        let links = table.links.entry(member.clone()).or_default();
-        links.push(Open { number, frames });
-        if links.len() == 1 {
-            self.tell(LinkEvent::Up(member.clone()));
+        table.last_number += 1;
+        let number = table.last_number;
+        let streams = table.streams.entry(member.clone()).or_default();
+        streams.push(OpenStream { number, frames });
+        if streams.len() == 1 {
+            self.notify(LinkEvent::Up(member.clone()));
         }
         number
     }
 
-    fn closed(&self, member: &MemberId, number: u64) {
+    fn remove_stream(&self, member: &MemberId, number: u64) {
         let mut table = self.table();
-        let Some(links) = table.links.get_mut(member) else {
+        let Some(streams) = table.streams.get_mut(member) else {
             return;
         };
-        links.retain(|open| open.number != number);
-        if links.is_empty() {
-            table.links.remove(member);
-            self.tell(LinkEvent::Down(member.clone()));
+        streams.retain(|open| open.number != number);
+        if streams.is_empty() {
+            table.streams.remove(member);
+            self.notify(LinkEvent::Down(member.clone()));
         }
     }
 
-    fn wants(&self, member: &MemberId, addr: SocketAddr) -> bool {
+    fn should_dial(&self, member: &MemberId, addr: SocketAddr) -> bool {
         self.table().dialed.get(member) == Some(&addr)
     }
 
-    /// Reads one stream until it ends.
-    async fn read(&self, number: u64, member: &MemberId, mut stream: Streaming<Frame>) {
-        let delay = self.distance.delay(member);
+    /// Reads a stream until it ends.
+    async fn read_stream(&self, number: u64, member: &MemberId, mut stream: Streaming<Frame>) {
+        let delay = self.link_delay.delay(member);
         let (tx, rx) = unbounded_channel();
-        let delayed = self.deliver(rx, delay);
+        let delivery = self.deliver(rx, delay);
         let reading = async {
             while let Some(Ok(frame)) = stream.next().await {
                 let due_us = self.timer.now().after(delay);
@@ -143,8 +141,8 @@
             }
             drop(tx);
         };
-        tokio::join!(delayed, reading);
-        self.closed(member, number);
+        tokio::join!(delivery, reading);
+        self.remove_stream(member, number);
     }
 
     async fn deliver(&self, mut rx: UnboundedReceiver<(u64, Frame)>, delay: Duration) {
@@ -153,29 +151,29 @@
                 let left = self.timer.now().left(due_us);
                 self.timer.sleep(left).await;
             }
-            self.tell(LinkEvent::Frame(Box::new(frame)));
+            self.notify(LinkEvent::Frame(Box::new(frame)));
         }
     }
 }
 
-/// The streams of one process.
+/// Links of one process.
 #[derive(Clone)]
 pub struct Links {
     shared: Arc<Shared>,
 }
 
 impl Links {
-    /// The streams of `me`; what happens on them is told to `events`.
+    /// Creates the links of process `me`; their events are sent to `events`.
     pub fn new(
         me: MemberId,
         timer: Timer,
-        distance: Arc<dyn Distance>,
+        link_delay: Arc<dyn LinkDelay>,
         events: UnboundedSender<LinkEvent>,
     ) -> Links {
         let shared = Shared {
             me,
             timer,
-            distance,
+            link_delay,
             events,
             table: Mutex::default(),
         };
@@ -184,14 +182,14 @@
         }
     }
 
-    /// Takes streams from other processes on `listener`, until `stop`.
+    /// Accepts streams from other processes on `listener` until `stop`.
     pub async fn serve(&self, listener: TcpListener, stop: impl Future<Output = ()>) -> Result<()> {
         let service = PeerServer::new(PeerService {
             shared: self.shared.clone(),
         });
         let service = service
-            .max_decoding_message_size(FRAME_BYTES)
-            .max_encoding_message_size(FRAME_BYTES);
+            .max_decoding_message_size(MAX_FRAME_BYTES)
+            .max_encoding_message_size(MAX_FRAME_BYTES);
         let incoming = TcpIncoming::from(listener).with_nodelay(Some(true));
         Server::builder()
             .add_service(service)
@@ -200,17 +198,17 @@
             .map_err(|err| Error::Other(err.to_string()))
     }
 
-    /// Sends a frame; `false` if there is no stream to `member`.
+    /// Sends a frame; returns `false` if there is no stream to `member`.
     pub fn send(&self, member: &MemberId, frame: Frame) -> bool {
         let table = self.shared.table();
-        let open = table.links.get(member).and_then(|links| links.last());
+        let open = table.streams.get(member).and_then(|streams| streams.last());
         open.is_some_and(|open| open.frames.send(frame).is_ok())
     }
 
-    /// Keeps a stream to `member` at `addr`.
+    /// Keeps a stream open to `member` at `addr`.
     pub fn dial(&self, member: &MemberId, addr: SocketAddr) {
-        let before = self.shared.table().dialed.insert(member.clone(), addr);
-        if before == Some(addr) || *member == self.shared.me {
+        let previous = self.shared.table().dialed.insert(member.clone(), addr);
+        if previous == Some(addr) || *member == self.shared.me {
             return;
         }
         let shared = self.shared.clone();
@@ -218,52 +216,53 @@
         tokio::spawn(async move { keep_dialing(&shared, &member, addr).await });
     }
 
-    /// Makes a stream to whoever is at `addr`, once.
+    /// Opens a stream to the process at `addr`, with one attempt.
     pub fn dial_seed(&self, addr: SocketAddr) {
         let shared = self.shared.clone();
         tokio::spawn(async move { dial_once(&shared, None, addr).await });
     }
 
-    /// Keeps no stream to `member` any more.
-    pub fn forget(&self, member: &MemberId) {
+    /// Closes the streams to `member` and stops dialing it.
+    pub fn remove(&self, member: &MemberId) {
         let mut table = self.shared.table();
         table.dialed.remove(member);
-        if table.links.remove(member).is_some() {
-            self.shared.tell(LinkEvent::Down(member.clone()));
+        if table.streams.remove(member).is_some() {
+            self.shared.notify(LinkEvent::Down(member.clone()));
         }
     }
 
-    /// Members that are dialed.
+    /// Members that are being dialed.
     pub fn dialed(&self) -> Vec<MemberId> {
         self.shared.table().dialed.keys().cloned().collect()
     }
 }
 
 async fn keep_dialing(shared: &Arc<Shared>, member: &MemberId, addr: SocketAddr) {
-    while shared.wants(member, addr) {
-        let linked = shared.table().links.contains_key(member);
-        if !linked
+    while shared.should_dial(member, addr) {
+        let is_linked = shared.table().streams.contains_key(member);
+        if !is_linked
             && let Err(err) = dial_once(shared, Some(member), addr).await
             && err.kind() == io::ErrorKind::ConnectionRefused
         {
-            shared.tell(LinkEvent::Ended(member.clone()));
+            shared.notify(LinkEvent::Ended(member.clone()));
         }
-        shared.timer.sleep(REDIAL).await;
+        shared.timer.sleep(REDIAL_DELAY).await;
     }
 }
 
-/// Keeps one stream to `wanted`, or to anyone, until it ends.
+/// Opens a stream to the process at `addr` and reads it until it ends. If `wanted` is given,
+/// the process must be that member.
 async fn dial_once(
     shared: &Arc<Shared>,
     wanted: Option<&MemberId>,
     addr: SocketAddr,
 ) -> io::Result<()> {
     let endpoint = Endpoint::from_shared(format!("http://{addr}")).map_err(io::Error::other)?;
-    let endpoint = endpoint.connect_timeout(DIAL_LIMIT).tcp_nodelay(true);
+    let endpoint = endpoint.connect_timeout(CONNECT_TIMEOUT).tcp_nodelay(true);
     let channel = endpoint.connect().await.map_err(|err| io_error(&err))?;
     let mut client = PeerClient::new(channel)
-        .max_decoding_message_size(FRAME_BYTES)
-        .max_encoding_message_size(FRAME_BYTES);
+        .max_decoding_message_size(MAX_FRAME_BYTES)
+        .max_encoding_message_size(MAX_FRAME_BYTES);
     let (tx, rx) = unbounded_channel();
     let _ = tx.send(shared.hello());
     let outgoing = UnboundedReceiverStream::new(rx);
@@ -275,16 +274,16 @@
         return Ok(());
     };
     match wanted {
-        Some(wanted) if *wanted != member => shared.tell(LinkEvent::Ended(wanted.clone())),
+        Some(wanted) if *wanted != member => shared.notify(LinkEvent::Ended(wanted.clone())),
         _ => {
-            let number = shared.opened(&member, tx);
-            shared.read(number, &member, stream).await;
+            let number = shared.add_stream(&member, tx);
+            shared.read_stream(number, &member, stream).await;
         }
     }
     Ok(())
 }
 
-/// Finds the operating system's error behind one of the transport.
+/// Returns the I/O error that caused a transport error.
 fn io_error(err: &tonic::transport::Error) -> io::Error {
     let mut cause = err.source();
     while let Some(err) = cause {
@@ -293,7 +292,7 @@
         }
         cause = err.source();
     }
-    io::Error::other("the connection failed")
+    io::Error::other("connection failed without an I/O error")
 }
 
 struct PeerService {
@@ -317,8 +316,8 @@
             let Some(Ok(hello)) = stream.next().await else {
                 return;
             };
-            let number = shared.opened(&hello.from, tx);
-            shared.read(number, &hello.from, stream).await;
+            let number = shared.add_stream(&hello.from, tx);
+            shared.read_stream(number, &hello.from, stream).await;
         });
         let outgoing = UnboundedReceiverStream::new(rx).map(Ok);
         Ok(Response::new(Box::pin(outgoing)))
--- a/src/local.rs
+++ b/src/local.rs
@@ -24,7 +24,7 @@
 use crate::error::{Error, Result};
 use crate::host::{Host, Ready};
 use crate::id::MemberId;
-use crate::link::{Distance, NoDistance};
+use crate::link::{LinkDelay, NoDelay};
 use crate::metrics::Metrics;
 use crate::node::MessageCounts;
 use crate::settings::{AgentSettings, EntrySettings, LogLevel, Process};
@@ -80,7 +80,7 @@
     between: Duration,
 }
 
-impl Distance for DomainDistance {
+impl LinkDelay for DomainDistance {
     fn delay(&self, from: &MemberId) -> Duration {
         match self.domains.get(&*from.name) {
             Some(domain) if *domain != self.own => self.between,
@@ -189,14 +189,18 @@
     /// Messages of all processes, of those that ended too.
     pub fn messages(&self) -> MessageCounts {
         let agents = self.agents.iter().map(|agent| &agent.host);
-        let running = agents.chain(&self.entries).map(|host| host.tally.read());
+        let running = agents
+            .chain(&self.entries)
+            .map(|host| host.message_counters.read());
         running.fold(self.ended, MessageCounts::plus)
     }
 
     /// Starts an agent again whose process has ended.
     pub fn restart_agent(&mut self, index: usize) -> Result<()> {
         let settings = self.agents[index].settings.clone();
-        self.ended = self.ended.plus(self.agents[index].host.tally.read());
+        self.ended = self
+            .ended
+            .plus(self.agents[index].host.message_counters.read());
         self.agents[index].host = self.start_agent(&settings)?;
         Ok(())
     }
@@ -215,9 +219,9 @@
         }
     }
 
-    fn distance(&self, name: &str) -> Arc<dyn Distance> {
+    fn distance(&self, name: &str) -> Arc<dyn LinkDelay> {
         if self.options.domain_delay.is_zero() {
-            return Arc::new(NoDistance);
+            return Arc::new(NoDelay);
         }
         Arc::new(DomainDistance {
             own: self.domains.get(name).cloned().unwrap_or_default(),
@@ -247,8 +251,11 @@
                 seed,
             };
             let agent = Agent::bind(parts).await?;
-            let (addr, tally) = (agent.addr(), agent.tally());
-            let _ = ready.send(Ready { addr, tally });
+            let (addr, message_counters) = (agent.addr(), agent.message_counters());
+            let _ = ready.send(Ready {
+                addr,
+                message_counters,
+            });
             agent.run(stop).await
         })
     }
@@ -263,7 +270,7 @@
 
     /// Starts an entry again whose process has ended.
     pub fn restart_entry(&mut self, index: usize) -> Result<()> {
-        self.ended = self.ended.plus(self.entries[index].tally.read());
+        self.ended = self.ended.plus(self.entries[index].message_counters.read());
         self.entries[index] = self.start_entry(index)?;
         Ok(())
     }
@@ -293,8 +300,11 @@
                 distance,
             };
             let entry = Entry::bind(parts).await?;
-            let (addr, tally) = (entry.http_addr(), entry.tally());
-            let _ = ready.send(Ready { addr, tally });
+            let (addr, message_counters) = (entry.http_addr(), entry.message_counters());
+            let _ = ready.send(Ready {
+                addr,
+                message_counters,
+            });
             entry.run(stop).await
         })
     }
--- a/src/member.rs
+++ b/src/member.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use crate::clocks::Clocks;
-use crate::fleet::{Fleet, MemberRecord, News, Table};
+use crate::fleet::{Fleet, FleetChanges, MemberRecord, Table};
 use crate::gate::{Gate, GateAction, GateSettings, RunResult};
 use crate::id::{MemberId, RangeId, TaskId};
 use crate::load::LoadSample;
@@ -234,7 +234,7 @@
     }
 
     /// Puts what is new in force.
-    pub fn on_news(&mut self, now: Moment, fleet: &Fleet, news: News) {
+    pub fn on_news(&mut self, now: Moment, fleet: &Fleet, news: FleetChanges) {
         if news.config {
             self.owner.configure(fleet.config().clone());
         }
--- a/src/message.rs
+++ b/src/message.rs
@@ -1,11 +1,9 @@
-//! What processes of the fleet say to each other.
+//! Messages between the processes of the fleet.
 //!
-//! Everything between two processes crosses one stream of [`Frame`]s. A frame
-//! carries the messages that were waiting, and in its header what the sender
-//! knows of configuration, ranges and loads, so that none of these needs
-//! messages of its own. Every message may be lost, doubled, late or out of
-//! order; the state machines that take them are built for that. Spans travel,
-//! moments do not: two processes share no monotonic clock.
+//! Messages are sent in [`Frame`]s; a frame's header carries the sender's configuration and
+//! table revisions and its load samples. Messages may be lost, duplicated, delayed or
+//! reordered. They contain durations instead of monotonic timestamps, because processes
+//! share no monotonic clock.
 
 use std::sync::Arc;
 
@@ -17,88 +15,87 @@
 use crate::id::{Epoch, MemberId, RangeId, SubmissionId, TaskId};
 use crate::load::LoadSample;
 
-/// A batch of messages from one process to another.
+/// Batch of messages from one process to another.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Frame {
-    /// Who sends it.
+    /// Sender.
     pub from: MemberId,
-    /// What the sender knows.
+    /// Revisions and loads known to the sender.
     pub header: Header,
-    /// The messages, in the order they were sent.
+    /// Messages in sending order.
     pub messages: Vec<Message>,
 }
 
-/// What a sender knows, on every frame.
+/// Header of every frame.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Header {
-    /// Revision of the configuration in force at the sender.
+    /// Revision of the sender's configuration.
     pub config: u64,
-    /// Revision of the table of key ranges at the sender.
+    /// Revision of the sender's table of key ranges.
     pub table: u64,
-    /// Wall clock of the sender in milliseconds; 0 if it does not say.
+    /// Sender's wall clock in milliseconds; 0 if not given.
     #[serde(default)]
     pub wall_ms: u64,
-    /// The freshest loads that the sender knows and did not send lately.
+    /// Latest load samples that were not yet sent to this receiver.
     pub loads: Vec<LoadSample>,
 }
 
-/// One message.
+/// Message between two processes.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum Message {
-    /// Entry to owner: run this, or join it.
+    /// Entry to owner: run a submission, or join it if it is known.
     Submit(Box<Submission>),
-    /// Owner to entry: what became of a submission.
+    /// Owner to entry: result of an operation on a submission.
     Answer {
         /// The submission.
         id: SubmissionId,
-        /// Which question it answers.
-        about: Ask,
-        /// Its answer.
+        /// Operation that is answered.
+        about: Operation,
+        /// Answer.
         answer: Answer,
     },
-    /// Owner to entry: I do not own this id's range now.
+    /// Owner to entry: the sender does not own the id's range.
     NotOwner {
         /// The submission.
         id: SubmissionId,
-        /// Whether nothing was done with the message that is answered.
+        /// Whether the rejected message had no effect.
         untouched: bool,
     },
-    /// Entry to owner: stop this submission.
+    /// Entry to owner: cancel a submission.
     Cancel {
         /// The submission.
         id: SubmissionId,
     },
-    /// Entry to owner: what is known of this submission?
+    /// Entry to owner: look up the state of a submission.
     Lookup {
         /// The submission.
         id: SubmissionId,
     },
-    /// Owner to gate: run this task; sent again, it changes nothing.
+    /// Owner to gate: run a task. Idempotent.
     Start(Box<Start>),
-    /// Owner to gate: bar this task if it has not started, and say how it is.
+    /// Owner to gate: report a task's state, and refuse it if it has not started.
     Inquire {
         /// The task.
         task: TaskId,
         /// Range of its submission.
         range: RangeId,
-        /// Epoch of the owner that asks.
+        /// Epoch of the sender.
         epoch: Epoch,
-        /// The attempt that is asked about.
+        /// Number of the attempt.
         attempt: u32,
     },
-    /// Owner to gate: bar or stop this task.
+    /// Owner to gate: refuse or stop a task.
     Stop {
         /// The task.
         task: TaskId,
     },
-    /// Gate to owner: the task was not started here and never will be.
+    /// Gate to owner: this attempt was not started and never will be.
     Refused {
         /// The task.
         task: TaskId,
-        /// The attempt that was not started; a refusal may come late or twice,
-        /// when a later attempt is under way at the same gate.
+        /// The refused attempt; a delayed refusal may arrive during a later attempt.
         attempt: u32,
-        /// Why.
+        /// Reason.
         reason: Refusal,
     },
     /// Gate to owner: the task is running.
@@ -110,53 +107,52 @@
     Finished {
         /// The task.
         task: TaskId,
-        /// How it ended.
+        /// Outcome.
         outcome: TaskOutcome,
         /// Run time at the target in microseconds.
         run_us: u64,
     },
-    /// New owner to gate: take no start of an older epoch, and list what you
-    /// started in this range.
+    /// New owner to gate: refuse starts of older epochs, and list the tasks started in a range.
     Recover {
         /// The range.
         range: RangeId,
         /// Epoch of the new owner.
         epoch: Epoch,
     },
-    /// Gate to new owner: everything started here in the range.
+    /// Gate to new owner: all tasks started in the range.
     Recovered {
         /// The range.
         range: RangeId,
-        /// Epoch that was asked with.
+        /// Epoch of the request.
         epoch: Epoch,
-        /// Tasks started here.
+        /// Started tasks.
         tasks: Vec<StartedTask>,
     },
-    /// Leaving owner to its successor: everything it knows of a range.
+    /// Leaving owner to its successor: state of a range.
     Handover(Box<Handover>),
-    /// Successor to leaving owner: the handover arrived.
+    /// Successor to leaving owner: handover received.
     HandoverTaken {
         /// The range.
         range: RangeId,
-        /// Epoch that the leaving owner holds.
+        /// Epoch of the leaving owner.
         epoch: Epoch,
     },
-    /// To whoever is ahead: send me what you know of the fleet.
+    /// Requests a snapshot of the receiver's fleet view.
     SnapshotRequest,
-    /// What the sender knows of the fleet.
+    /// The sender's fleet view.
     Snapshot(Box<Snapshot>),
-    /// Entry to any process: rows of an operator's table.
+    /// Entry to any process: request for rows of an operator's table.
     RowsRequest {
-        /// Names the request.
+        /// Request id.
         request: u64,
-        /// Table wanted.
+        /// Table name.
         table: String,
         /// Only rows about this submission.
         about: Option<SubmissionId>,
     },
     /// Rows of an operator's table, each a JSON object.
     Rows {
-        /// The request that is answered.
+        /// Request id.
         request: u64,
         /// JSON array of rows.
         rows: Bytes,
@@ -164,7 +160,7 @@
 }
 
 impl Message {
-    /// What a message is to the count of wasted messages.
+    /// Class for the message counters.
     pub fn class(&self) -> MessageClass {
         match self {
             Message::Submit(_)
@@ -182,66 +178,65 @@
     }
 }
 
-/// What an entry asks of an owner.
+/// Operation on a submission that an entry requests from its owner.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
-pub enum Ask {
-    /// Run it and say how it ended.
+pub enum Operation {
+    /// Run it and return the result.
     Submit,
-    /// Stop it.
+    /// Cancel it.
     Cancel,
-    /// Say how it is.
+    /// Look up its state.
     Lookup,
 }
 
-impl Ask {
-    /// Whether an answer about `self` also answers `other`: how a submission
-    /// ended also says that it needs no cancel.
-    pub fn answers(self, other: Ask) -> bool {
-        self == other || (self == Ask::Submit && other == Ask::Cancel)
+impl Operation {
+    /// Whether an answer to `self` also answers `other`: a finished submission needs no
+    /// cancellation.
+    pub fn answers(self, other: Operation) -> bool {
+        self == other || (self == Operation::Submit && other == Operation::Cancel)
     }
 }
 
-/// What a message is to the count of wasted messages.
+/// Class of a message for the message counters.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MessageClass {
-    /// Moves work forward.
+    /// Carries work.
     Work,
-    /// Keeps the fleet in order.
+    /// Coordinates the fleet.
     Control,
-    /// Moves nothing forward: a retry, a refusal.
+    /// Retry or refusal.
     Void,
 }
 
-/// A caller's request or job on its way to the owner of its id.
+/// A caller's request or job, as sent to the owner of its id.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Submission {
-    /// Its id.
+    /// Id.
     pub id: SubmissionId,
-    /// Service asked for.
+    /// Requested service.
     pub service: Arc<str>,
     /// Kind of request.
     pub kind: Arc<str>,
-    /// Team that pays for it.
+    /// Team whose quota applies.
     pub team: Option<Arc<str>>,
     /// Priority; 0 is the most urgent.
     pub priority: u8,
-    /// Time left until its deadline, in milliseconds.
+    /// Remaining time until the deadline.
     pub budget_ms: u64,
     /// Whether it is a job; the tasks of a job are never retried after an
     /// unknown outcome.
     pub is_job: bool,
-    /// Hash over everything that the caller asked for.
+    /// Hash of the whole request.
     pub digest: u64,
-    /// Names the caller's try; an entry that sends a try again, because a link
-    /// broke, keeps its number.
+    /// Id of the caller's attempt; unchanged when an entry resends the submission.
     pub call: u64,
-    /// Payload of each task.
+    /// Payloads of the tasks.
     pub tasks: Vec<Bytes>,
 }
 
 impl Submission {
-    /// Stands for a submission of which only the id is known.
-    pub fn question(id: SubmissionId, budget_ms: u64) -> Submission {
+    /// Creates a placeholder for a submission of which only the id is known.
+    pub fn id_only(id: SubmissionId, budget_ms: u64) -> Submission {
         Submission {
             id,
             service: Arc::from(""),
@@ -257,30 +252,30 @@
     }
 }
 
-/// One task on its way to a gate.
+/// Request to a gate to start a task.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Start {
     /// The task.
     pub task: TaskId,
     /// Range of its submission.
     pub range: RangeId,
-    /// Epoch of the owner that sends it.
+    /// Epoch of the owner.
     pub epoch: Epoch,
     /// Kind of request.
     pub kind: Arc<str>,
-    /// Team that pays for it.
+    /// Team whose quota applies.
     pub team: Option<Arc<str>>,
     /// Priority; 0 is the most urgent.
     pub priority: u8,
-    /// Whether it may use the slots that are kept for urgent tasks.
+    /// Whether it may use the slots reserved for urgent tasks.
     pub urgent: bool,
-    /// Time left until its deadline, in milliseconds.
+    /// Remaining time until the deadline.
     pub budget_ms: u64,
-    /// Run time that the owner expects, in microseconds.
+    /// Expected run time.
     pub expected_us: u64,
-    /// How often the task was sent before.
+    /// Number of the attempt, from 0.
     pub attempt: u32,
-    /// What the target gets.
+    /// Payload for the target.
     pub payload: Bytes,
 }
 
@@ -288,89 +283,89 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Refusal {
-    /// Its queue is full.
+    /// The queue is full.
     QueueFull,
-    /// It has no free slot, and another gate may have one.
+    /// No slot is free; another gate may have one.
     Busy,
-    /// The deadline cannot be met here.
+    /// The deadline can't be met at this gate.
     TooLate,
     /// The target is leaving or drained.
     Leaving,
-    /// The owner's epoch is over.
+    /// The owner's epoch is outdated.
     StaleEpoch,
-    /// Barred before it started.
+    /// The owner withdrew the task before it started.
     Barred,
-    /// The target took no connection; nothing reached it.
+    /// The target accepted no connection, so the task did not run.
     NoConnection,
-    /// The target lacks what the task needs.
+    /// The target does not meet the task's requirements.
     Unfit,
 }
 
 /// How a task ended.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum TaskOutcome {
-    /// The target answered; its whole body.
+    /// The target succeeded; holds its response body.
     Done(Bytes),
-    /// The target answered with a failure.
+    /// The target returned an error.
     Failed {
-        /// Its HTTP status.
+        /// HTTP status.
         status: u16,
-        /// Its whole body.
+        /// Response body.
         body: Bytes,
     },
-    /// Stopped while it ran.
+    /// The task was stopped while running.
     Stopped,
-    /// It may have run; the answer is lost.
+    /// The response is lost; the task may have run.
     Lost,
 }
 
-/// A task that a gate has started.
+/// Task that a gate has accepted.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct StartedTask {
     /// The task.
     pub task: TaskId,
-    /// How it ended; `None` while it runs or waits.
+    /// Outcome; `None` while the task is queued or running.
     pub outcome: Option<TaskOutcome>,
 }
 
-/// What a leaving owner knows of a range.
+/// State of a range, from a leaving owner.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Handover {
     /// The range.
     pub range: RangeId,
-    /// Epoch that the leaving owner holds.
+    /// Epoch of the leaving owner.
     pub epoch: Epoch,
-    /// Ids at or below it that are not listed are not new.
+    /// Time up to which unlisted ids may already have been used.
     pub horizon_ms: u64,
-    /// Ids above it that are not listed were never started.
+    /// Time after which unlisted ids were never started.
     pub proof_floor_ms: u64,
-    /// Every submission it knows.
+    /// All known submissions.
     pub entries: Vec<HandoverEntry>,
 }
 
 /// One submission in a handover.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct HandoverEntry {
-    /// The submission; its tasks are empty once it ended.
+    /// The submission, without tasks if it has ended.
     pub submission: Submission,
-    /// The answer, once there is one.
+    /// Answer, if it has ended.
     pub answer: Option<Answer>,
-    /// First attempt number that no gate has seen.
+    /// First unused attempt number.
     pub next_attempt: u32,
-    /// Tries that it came with.
+    /// Ids of the callers' attempts.
     pub calls: Vec<u64>,
-    /// How far each task came.
+    /// Progress of each task.
     pub tasks: Vec<HandoverTask>,
-    /// Tasks that an owner before the leaving one started.
+    /// Tasks that earlier owners started.
     pub recovered: Vec<RecoveredTask>,
-    /// Entries that wait for the answer.
+    /// Entries waiting for the answer.
     pub waiters: Vec<MemberId>,
 }
 
-/// How far a task came before a handover.
+/// Progress of a task at a handover.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum HandoverTask {
-    /// Not sent anywhere; the number of its next attempt.
+    /// Not sent to a gate; holds the number of the next attempt.
     Waiting(u32),
     /// Sent to a gate.
     Sent {
@@ -379,23 +374,23 @@
         /// Number of the attempt.
         attempt: u32,
     },
-    /// Ended.
+    /// Ended with this outcome.
     Ended(TaskOutcome),
 }
 
-/// A task that an owner before started.
+/// Task that an earlier owner started.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct RecoveredTask {
-    /// Its index in the submission.
+    /// Index in the submission.
     pub index: u32,
-    /// Where.
+    /// Gate that has the task.
     pub gate: MemberId,
-    /// How it ended; `None` while it runs or waits.
+    /// Outcome; `None` while the task is queued or running.
     pub outcome: Option<TaskOutcome>,
 }
 
 impl RecoveredTask {
-    /// Whether it certainly ran.
+    /// Whether the task is known to have run.
     pub fn has_run(&self) -> bool {
         self.outcome
             .as_ref()
@@ -403,23 +398,23 @@
     }
 }
 
-/// What became of a submission.
+/// Answer to an operation on a submission.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Answer {
     /// Result code.
     pub code: ResultCode,
-    /// What is known of its execution.
+    /// Whether the submission has run, as far as known.
     pub effect: Effect,
-    /// Words for a person.
+    /// Human-readable message.
     pub message: String,
-    /// When to come back, in milliseconds.
+    /// Suggested delay before a retry.
     pub retry_after_ms: Option<u64>,
-    /// The target's answer for each task, if complete.
+    /// The target's response for each task, if complete.
     pub results: Vec<Bytes>,
 }
 
 impl Answer {
-    /// A whole answer.
+    /// Creates the answer to a completed submission.
     pub fn complete(results: Vec<Bytes>) -> Answer {
         Answer {
             code: ResultCode::Complete,
@@ -430,7 +425,7 @@
         }
     }
 
-    /// A failure or refusal.
+    /// Creates a failure or refusal.
     pub fn failure(code: ResultCode, effect: Effect, message: &str) -> Answer {
         Answer {
             code,
@@ -441,12 +436,12 @@
         }
     }
 
-    /// A refusal of something that has not run.
+    /// Creates a refusal of a submission that has not run.
     pub fn not_run(code: ResultCode, message: &str) -> Answer {
         Answer::failure(code, Effect::NotRun, message)
     }
 
-    /// Tells the caller when to come back.
+    /// Sets the suggested delay before a retry.
     pub fn retry_after(mut self, ms: u64) -> Answer {
         self.retry_after_ms = Some(ms);
         self
--- a/src/node.rs
+++ b/src/node.rs
@@ -1,10 +1,9 @@
-//! What agents and entries have in common: links, an outbox, the view of the
-//! fleet, and the watch that keeps it fresh.
+//! Common part of agents and entries: links, outbox, fleet view and store watch.
 //!
-//! Messages collect in the outbox while a batch of events is handled and leave
-//! as one frame for each peer. Who hears in a frame's header of a later
-//! revision than its own, and does not get it from its watch soon, asks the
-//! sender for it; so a process can join and follow while the store is down.
+//! The outbox collects messages during a batch of events and sends one frame to each peer.
+//! If a frame's header shows a newer revision that the watch does not deliver in time, the
+//! process requests a snapshot from the sender, so it stays up to date while the store is
+//! unavailable.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -17,7 +16,8 @@
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender};
 
 use crate::fleet::{
-    CONFIG_KEY, ConfigRecord, Fleet, MEMBER_PREFIX, MemberRecord, News, PREFIX, Snapshot, TABLE_KEY,
+    CONFIG_KEY, ConfigRecord, Fleet, FleetChanges, MEMBER_PREFIX, MemberRecord, PREFIX, Snapshot,
+    TABLE_KEY,
 };
 use crate::id::MemberId;
 use crate::link::{LinkEvent, Links};
@@ -29,20 +29,20 @@
 use crate::supervisor::Stop;
 use crate::time::{Moment, Timer, micros};
 
-/// How often the state machines are told that time has passed.
-const TICK: Duration = Duration::from_millis(20);
-/// Longest wait of a watch.
-const WATCH: Duration = Duration::from_secs(20);
-/// Wait before a watch that failed is made again.
-const WATCH_RETRY: Duration = Duration::from_millis(400);
-/// Time that the watch gets to bring what a header told of.
-const WATCH_LAG: Duration = Duration::from_millis(150);
-/// Least time between two requests for a snapshot.
-const SNAPSHOT_PACE: Duration = Duration::from_millis(500);
+/// Interval of [`NodeEvent::Tick`].
+const TICK_INTERVAL: Duration = Duration::from_millis(20);
+/// How long a watch waits for a change.
+const WATCH_WAIT: Duration = Duration::from_secs(20);
+/// Delay before a failed watch is retried.
+const WATCH_RETRY_DELAY: Duration = Duration::from_millis(400);
+/// How long to wait for the watch before a snapshot is requested.
+const WATCH_GRACE: Duration = Duration::from_millis(150);
+/// Minimum time between two snapshot requests.
+const SNAPSHOT_REQUEST_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Messages sent so far, by what they were for.
+/// Counters of sent messages by class.
 #[derive(Debug, Default)]
-pub struct Tally {
+pub struct MessageCounters {
     work: AtomicU64,
     control: AtomicU64,
     void: AtomicU64,
@@ -50,20 +50,20 @@
     config: AtomicU64,
 }
 
-/// A reading of a [`Tally`].
+/// Values of [`MessageCounters`].
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MessageCounts {
-    /// Moved work forward.
+    /// Messages that carry work.
     pub work: u64,
-    /// Kept the fleet in order.
+    /// Messages that coordinate the fleet.
     pub control: u64,
-    /// Moved nothing forward.
+    /// Retries and refusals.
     pub void: u64,
-    /// Frames that carried them.
+    /// Frames that carried the messages.
     pub frames: u64,
 }
 
-impl Tally {
+impl MessageCounters {
     fn count(&self, message: &Message) {
         let counter = match message.class() {
             MessageClass::Work => &self.work,
@@ -73,12 +73,12 @@
         counter.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// Revision of the configuration in force.
+    /// Revision of the current configuration.
     pub fn config_revision(&self) -> u64 {
         self.config.load(Ordering::Relaxed)
     }
 
-    /// The counts now.
+    /// Current values.
     pub fn read(&self) -> MessageCounts {
         MessageCounts {
             work: self.work.load(Ordering::Relaxed),
@@ -90,7 +90,7 @@
 }
 
 impl MessageCounts {
-    /// The sum of both.
+    /// Sum of both.
     pub fn plus(self, other: MessageCounts) -> MessageCounts {
         MessageCounts {
             work: self.work + other.work,
@@ -100,7 +100,7 @@
         }
     }
 
-    /// What came since `before`.
+    /// Difference from the earlier values `before`.
     pub fn since(self, before: MessageCounts) -> MessageCounts {
         MessageCounts {
             work: self.work - before.work,
@@ -111,7 +111,7 @@
     }
 }
 
-/// The common part of a process.
+/// Common part of an agent or entry.
 pub struct Node {
     /// This process.
     pub me: MemberId,
@@ -119,21 +119,21 @@
     pub timer: Timer,
     /// Streams to peers.
     pub links: Links,
-    /// What is known of the fleet.
+    /// View of the fleet.
     pub fleet: Fleet,
-    /// Where events are logged.
+    /// Logger.
     pub log: Logger,
-    /// Where counts go.
+    /// Metrics.
     pub metrics: Metrics,
-    /// Messages sent so far.
-    pub tally: Arc<Tally>,
+    /// Counters of sent messages.
+    pub message_counters: Arc<MessageCounters>,
     outbox: HashMap<MemberId, Vec<Message>>,
     behind_since_us: Option<u64>,
-    asked_us: u64,
+    snapshot_requested_us: u64,
 }
 
 impl Node {
-    /// The common part of the process `me`.
+    /// Creates the common part of the process `me`.
     pub fn new(
         me: MemberId,
         timer: Timer,
@@ -149,14 +149,14 @@
             fleet,
             log,
             metrics,
-            tally: Arc::default(),
+            message_counters: Arc::default(),
             outbox: HashMap::new(),
             behind_since_us: None,
-            asked_us: 0,
+            snapshot_requested_us: 0,
         }
     }
 
-    /// Puts a message into the outbox.
+    /// Adds a message to the outbox.
     pub fn send(&mut self, to: &MemberId, message: Message) {
         match self.outbox.get_mut(to) {
             Some(messages) => messages.push(message),
@@ -166,24 +166,24 @@
         }
     }
 
-    /// Takes the messages that this process sent to itself.
-    pub fn take_own(&mut self) -> Vec<Message> {
+    /// Removes this process's messages to itself from the outbox.
+    pub fn take_local_messages(&mut self) -> Vec<Message> {
         self.outbox.remove(&self.me).unwrap_or_default()
     }
 
-    /// Whether messages wait in the outbox.
-    pub fn has_mail(&self) -> bool {
+    /// Whether the outbox holds messages.
+    pub fn has_outgoing(&self) -> bool {
         !self.outbox.is_empty()
     }
 
-    /// Sends the outbox, one frame for each peer; `loads` gives the samples
-    /// for a peer. What cannot be sent is dropped.
+    /// Sends the outbox as one frame per peer, with the load samples from `loads`. Frames to
+    /// peers without a link are dropped.
     pub fn flush(&mut self, mut loads: impl FnMut(&MemberId) -> Vec<LoadSample>) {
         for (to, messages) in std::mem::take(&mut self.outbox) {
             messages
                 .iter()
-                .for_each(|message| self.tally.count(message));
-            self.tally.frames.fetch_add(1, Ordering::Relaxed);
+                .for_each(|message| self.message_counters.count(message));
+            self.message_counters.frames.fetch_add(1, Ordering::Relaxed);
             let header = Header {
                 config: self.fleet.config_revision(),
                 table: self.fleet.table().revision,
@@ -196,44 +196,47 @@
                 messages,
             };
             if !self.links.send(&to, frame) {
-                debug!(self.log, "frame dropped"; "peer" => %to);
+                debug!(self.log, "frame dropped: no link to the peer"; "peer" => %to);
             }
         }
     }
 
-    /// Asks for what a header shows to be newer, if the watch does not bring it.
-    pub fn take_header(&mut self, now: Moment, from: &MemberId, header: &Header) {
-        let behind = header.config > self.fleet.config_revision()
+    /// Requests a snapshot if a header shows newer revisions that the watch does not deliver in
+    /// time.
+    pub fn check_header(&mut self, now: Moment, from: &MemberId, header: &Header) {
+        let is_behind = header.config > self.fleet.config_revision()
             || header.table > self.fleet.table().revision;
-        if !behind {
+        if !is_behind {
             self.behind_since_us = None;
             return;
         }
         let since_us = *self.behind_since_us.get_or_insert(now.mono_us);
-        let lagging = now.mono_us >= since_us + micros(WATCH_LAG);
-        if lagging && now.mono_us >= self.asked_us + micros(SNAPSHOT_PACE) {
-            self.asked_us = now.mono_us;
+        let is_overdue = now.mono_us >= since_us + micros(WATCH_GRACE);
+        if is_overdue
+            && now.mono_us >= self.snapshot_requested_us + micros(SNAPSHOT_REQUEST_INTERVAL)
+        {
+            self.snapshot_requested_us = now.mono_us;
             self.send(from, Message::SnapshotRequest);
         }
     }
 
-    /// Asks a peer for what it knows, unless one was asked just now.
-    pub fn ask_snapshot(&mut self, now: Moment, from: &MemberId) {
-        if now.mono_us >= self.asked_us + micros(SNAPSHOT_PACE) {
-            self.asked_us = now.mono_us;
+    /// Requests a snapshot from a peer, unless one was requested just before.
+    pub fn request_snapshot(&mut self, now: Moment, from: &MemberId) {
+        if now.mono_us >= self.snapshot_requested_us + micros(SNAPSHOT_REQUEST_INTERVAL) {
+            self.snapshot_requested_us = now.mono_us;
             self.send(from, Message::SnapshotRequest);
         }
     }
 
-    /// Turns to the peers from the settings while nothing is known.
+    /// Dials the seed peers while no configuration is known.
     pub fn dial_seeds(&self, seeds: &[SocketAddr]) {
         if self.fleet.config_revision() == 0 {
             seeds.iter().for_each(|seed| self.links.dial_seed(*seed));
         }
     }
 
-    /// Keeps a stream to each member that `wanted` names, and none to those
-    /// that are gone.
+    /// Keeps a link to each member that `wanted` accepts, and closes links to members that
+    /// have left.
     pub fn dial_members(&self, wanted: impl Fn(&MemberId) -> bool) {
         let members = self.fleet.members();
         for record in members.values().filter(|record| wanted(&record.id)) {
@@ -242,62 +245,64 @@
         let gates = &self.fleet.table().gates;
         let known = |id: &MemberId| members.contains_key(id) || gates.contains(id);
         let dialed = self.links.dialed();
-        for gone in dialed.iter().filter(|id| !known(id)) {
-            self.links.forget(gone);
+        for departed in dialed.iter().filter(|id| !known(id)) {
+            self.links.remove(departed);
         }
     }
 
-    /// Takes a peer's snapshot.
-    pub fn take_snapshot(&mut self, snapshot: Snapshot) -> News {
-        let news = self.fleet.take_snapshot(snapshot);
-        self.note_news(news);
-        news
+    /// Applies a peer's snapshot.
+    pub fn apply_snapshot(&mut self, snapshot: Snapshot) -> FleetChanges {
+        let changes = self.fleet.apply_snapshot(snapshot);
+        self.record_changes(changes);
+        changes
     }
 
-    /// Takes what the store holds.
-    pub fn take_entries(&mut self, revision: u64, entries: &[StoreEntry]) -> News {
-        let mut news = News::default();
-        let members = entries
+    /// Applies the entries read from the store at `revision`.
+    pub fn apply_entries(&mut self, revision: u64, entries: &[StoreEntry]) -> FleetChanges {
+        let mut changes = FleetChanges::default();
+        let member_entries = entries
             .iter()
             .filter(|entry| entry.key.starts_with(MEMBER_PREFIX));
-        let members: Vec<MemberRecord> = members
+        let members: Vec<MemberRecord> = member_entries
             .filter_map(|entry| serde_json::from_slice(&entry.value).ok())
             .collect();
         for entry in entries {
             match entry.key.as_str() {
                 CONFIG_KEY => {
                     let record = serde_json::from_slice::<ConfigRecord>(&entry.value);
-                    news.config = record.is_ok_and(|record| self.fleet.take_config(record));
+                    changes.config = record.is_ok_and(|record| self.fleet.apply_config(record));
                 }
                 TABLE_KEY => {
                     let table = parse_table(entry);
-                    news.table = table.is_some_and(|table| self.fleet.take_table(table));
+                    changes.table = table.is_some_and(|table| self.fleet.apply_table(table));
                 }
                 _ => {}
             }
         }
-        news.members = self.fleet.take_members(revision, members);
-        self.note_news(news);
-        news
+        changes.members = self.fleet.apply_members(revision, members);
+        self.record_changes(changes);
+        changes
     }
 
-    fn note_news(&self, news: News) {
-        if news.config {
+    fn record_changes(&self, changes: FleetChanges) {
+        if changes.config {
             let revision = self.fleet.config_revision();
-            self.tally.config.store(revision, Ordering::Relaxed);
-            info!(self.log, "configuration in force"; "revision" => self.fleet.config_revision());
+            self.message_counters
+                .config
+                .store(revision, Ordering::Relaxed);
+            info!(self.log, "configuration applied"; "revision" => self.fleet.config_revision());
         }
-        if news.table {
-            debug!(self.log, "table"; "revision" => self.fleet.table().revision);
+        if changes.table {
+            debug!(self.log, "range table applied"; "revision" => self.fleet.table().revision);
         }
     }
 }
 
-/// What a watch brings.
+/// Result of a watch.
 pub type WatchReply = Result<StoreReply, StoreError>;
 
-/// Watches everything of winghold in the store and tells `events`, until
-/// nobody listens any more.
+/// Watches all store keys of winghold and sends the results to `events` until the receiver
+/// is dropped.
 pub async fn watch_store<E: From<WatchReply>>(
     store: Arc<dyn Store>,
     timer: Timer,
@@ -305,63 +310,63 @@
     events: UnboundedSender<E>,
 ) {
     let mut after = 0;
-    let mut failed = false;
+    let mut was_failed = false;
     loop {
         let request = StoreRequest::Watch {
             prefix: PREFIX.to_string(),
             after,
-            wait_ms: WATCH.as_millis() as u64,
+            wait_ms: WATCH_WAIT.as_millis() as u64,
         };
         let reply = store.call(request).await;
-        let lost = !matches!(reply, Ok(StoreReply::Entries { .. }));
+        let is_failed = !matches!(reply, Ok(StoreReply::Entries { .. }));
         if let Ok(StoreReply::Entries { revision, .. }) = &reply {
             after = *revision;
         }
-        if lost != failed {
-            failed = lost;
-            warn!(log, "store"; "answers" => !lost);
+        if is_failed != was_failed {
+            was_failed = is_failed;
+            warn!(log, "store availability changed"; "answers" => !is_failed);
         }
         if events.send(E::from(reply)).is_err() {
             return;
         }
-        if lost {
-            timer.sleep(WATCH_RETRY).await;
+        if is_failed {
+            timer.sleep(WATCH_RETRY_DELAY).await;
         }
     }
 }
 
-/// What a loop is told besides its own events.
+/// Event common to agents and entries.
 #[derive(Debug)]
-pub enum Stimulus {
-    /// Something happened on a link.
+pub enum NodeEvent {
+    /// Link event.
     Link(LinkEvent),
-    /// Time has passed.
+    /// Timer tick.
     Tick,
-    /// The process should stop.
+    /// Request to stop the process.
     Stop,
 }
 
-/// Tells a loop of links, of time and, once, of the stop, until nobody listens.
-pub async fn feed<E: From<Stimulus>>(
+/// Forwards link events, ticks and one stop request to `events` until the receiver is dropped.
+pub async fn forward_events<E: From<NodeEvent>>(
     timer: Timer,
     mut links: UnboundedReceiver<LinkEvent>,
     stop: Stop,
     events: UnboundedSender<E>,
 ) {
-    let mut ticks = timer.every(TICK);
+    let mut ticks = timer.every(TICK_INTERVAL);
     let stopped = stop.asked();
     tokio::pin!(stopped);
-    let mut told = false;
+    let mut stop_sent = false;
     loop {
-        let stimulus = tokio::select! {
-            Some(event) = links.recv() => Stimulus::Link(event),
-            Some(()) = ticks.recv() => Stimulus::Tick,
-            () = &mut stopped, if !told => {
-                told = true;
-                Stimulus::Stop
+        let event = tokio::select! {
+            Some(event) = links.recv() => NodeEvent::Link(event),
+            Some(()) = ticks.recv() => NodeEvent::Tick,
+            () = &mut stopped, if !stop_sent => {
+                stop_sent = true;
+                NodeEvent::Stop
             }
         };
-        if events.send(E::from(stimulus)).is_err() {
+        if events.send(E::from(event)).is_err() {
             return;
         }
     }
--- a/src/owner/admission.rs
+++ b/src/owner/admission.rs
@@ -7,7 +7,7 @@
 use crate::config::Kind;
 use crate::fleet::Fleet;
 use crate::id::{MemberId, RangeId, SubmissionId, TaskId};
-use crate::message::{Answer, Ask, Message, RecoveredTask, Submission, TaskOutcome};
+use crate::message::{Answer, Message, Operation, RecoveredTask, Submission, TaskOutcome};
 use crate::owner::entry::{Entry, Progress, Step, TaskState};
 use crate::owner::ranges::Held;
 use crate::owner::{Owner, OwnerAction, OwnerActions, answer_to, send};
@@ -118,10 +118,10 @@
         if entry.submission.digest != submission.digest {
             let text = "this id belongs to another request";
             let answer = Answer::not_run(ResultCode::IdReused, text);
-            return vec![answer_to(from, id, Ask::Submit, answer)];
+            return vec![answer_to(from, id, Operation::Submit, answer)];
         }
         match entry.answer().cloned() {
-            Some(answer) => vec![answer_to(from, id, Ask::Submit, answer)],
+            Some(answer) => vec![answer_to(from, id, Operation::Submit, answer)],
             None => {
                 entry.wait(from);
                 entry.calls.push(submission.call);
@@ -168,11 +168,11 @@
             Novelty::Unknowable => {
                 let text = "an owner that is gone may have run it";
                 let answer = Answer::failure(ResultCode::OutcomeUnknown, Effect::Unknown, text);
-                vec![answer_to(from, id, Ask::Submit, answer)]
+                vec![answer_to(from, id, Operation::Submit, answer)]
             }
             Novelty::Refused(code, effect, text) => {
                 let answer = Answer::failure(code, effect, text);
-                vec![answer_to(from, id, Ask::Submit, answer)]
+                vec![answer_to(from, id, Operation::Submit, answer)]
             }
         }
     }
@@ -250,7 +250,7 @@
         };
         self.entries.insert(id, entry);
         self.expiries.insert((now.wall_ms + REFUSAL_KEPT_MS, id));
-        vec![answer_to(from, id, Ask::Submit, answer)]
+        vec![answer_to(from, id, Operation::Submit, answer)]
     }
 
     /// Makes an entry and queues its tasks that wait.
@@ -434,7 +434,7 @@
             },
             None => Answer::failure(ResultCode::NotFound, Effect::Unknown, "no such submission"),
         };
-        vec![answer_to(from, id, Ask::Lookup, answer)]
+        vec![answer_to(from, id, Operation::Lookup, answer)]
     }
 
     /// An entry cancels a submission; saying it again changes nothing.
@@ -444,7 +444,7 @@
         }
         let ended = self.entries.get(&id).and_then(Entry::answer).cloned();
         if let Some(answer) = ended {
-            return vec![answer_to(from, id, Ask::Cancel, answer)];
+            return vec![answer_to(from, id, Operation::Cancel, answer)];
         }
         match self.entries.get_mut(&id) {
             Some(entry) => {
@@ -464,7 +464,7 @@
             _ => Effect::Unknown,
         };
         let answer = Answer::failure(ResultCode::Cancelled, effect, "cancelled");
-        let submission = Submission::question(id, 0);
+        let submission = Submission::id_only(id, 0);
         self.open(now, std::slice::from_ref(from), submission, Vec::new());
         self.end(now, id, answer)
     }
--- a/src/owner/mod.rs
+++ b/src/owner/mod.rs
@@ -28,7 +28,7 @@
 use crate::fleet::Fleet;
 use crate::id::{MemberId, RangeId, SubmissionId};
 use crate::load::LoadSample;
-use crate::message::{Answer, Ask, Message};
+use crate::message::{Answer, Message, Operation};
 use crate::placement::Placer;
 use crate::retry::RetryBudget;
 use crate::run_times::RunTimes;
@@ -209,6 +209,6 @@
     }
 }
 
-fn answer_to(to: &MemberId, id: SubmissionId, about: Ask, answer: Answer) -> OwnerAction {
+fn answer_to(to: &MemberId, id: SubmissionId, about: Operation, answer: Answer) -> OwnerAction {
     send(to, Message::Answer { id, about, answer })
 }
--- a/src/owner/progress.rs
+++ b/src/owner/progress.rs
@@ -5,7 +5,7 @@
 use crate::code::{Effect, ResultCode};
 use crate::fleet::Fleet;
 use crate::id::{MemberId, SubmissionId, TaskId};
-use crate::message::{Answer, Ask, Message, Refusal, TaskOutcome};
+use crate::message::{Answer, Message, Operation, Refusal, TaskOutcome};
 use crate::owner::entry::{self, Progress, Step, TaskState};
 use crate::owner::{Owner, OwnerActions, answer_to, send};
 use crate::time::{Moment, micros};
@@ -376,7 +376,7 @@
         self.expiries.insert((expiry, id));
         let waiters = std::mem::take(&mut entry.waiters);
         let mut actions = self.drop_tasks(id, &before, &gates);
-        let message = |to: &MemberId| answer_to(to, id, Ask::Submit, answer.clone());
+        let message = |to: &MemberId| answer_to(to, id, Operation::Submit, answer.clone());
         actions.extend(waiters.iter().map(message));
         actions
     }
--- a/src/owner/ranges.rs
+++ b/src/owner/ranges.rs
@@ -10,7 +10,7 @@
 use std::collections::{BTreeMap, HashSet};
 use std::time::Duration;
 
-use crate::fleet::{Fleet, Holder, Passage, Row};
+use crate::fleet::{Acquisition, Fleet, Holder, Row};
 use crate::id::{Epoch, MemberId, RangeId, SubmissionId, TaskId};
 use crate::message::{
     Handover, HandoverEntry, HandoverTask, Message, RecoveredTask, StartedTask, Submission,
@@ -166,12 +166,12 @@
     fn gain(&mut self, now: Moment, range: RangeId, row: &Row) -> OwnerActions {
         let before = self.ranges.get(&range).map(|held| held.epoch);
         let handover = self.handovers.remove(&range);
-        match row.passage {
-            Passage::First => self.activate_at(range, row.epoch, 0, 0),
-            Passage::Resumed if before.map(Epoch::next) == Some(row.epoch) => {
+        match row.acquisition {
+            Acquisition::First => self.activate_at(range, row.epoch, 0, 0),
+            Acquisition::Resumed if before.map(Epoch::next) == Some(row.epoch) => {
                 self.resume_range(now, range, row.epoch)
             }
-            Passage::HandedOver => match handover {
+            Acquisition::HandedOver => match handover {
                 Some(handover) if handover.epoch.next() == row.epoch => {
                     self.take_over_handed(now, range, row.epoch, handover)
                 }
@@ -359,7 +359,7 @@
         let id = started.task.submission;
         let expiry = self.keep_until(now, id);
         let entry = self.entries.entry(id).or_insert_with(|| Entry {
-            submission: Submission::question(id, 0),
+            submission: Submission::id_only(id, 0),
             range,
             progress: Progress::Recovered {
                 tasks: BTreeMap::new(),
--- a/src/ownership/handover.rs
+++ b/src/ownership/handover.rs
@@ -76,7 +76,7 @@
             .collect();
         others.sort_by_key(|member| rank(&member.id, 0));
         others.truncate(fleet.config().ownership.max_owners);
-        others.sort_by_key(|member| table.owned_by(&member.id));
+        others.sort_by_key(|member| table.owned_count(&member.id));
         others.iter().map(|member| member.id.clone()).collect()
     }
 
@@ -104,11 +104,11 @@
         let owners = successors.len() + 1;
         let (part, rest) = (table.rows.len() / owners, table.rows.len() % owners);
         let most = part + usize::from(rest > 0);
-        if !self.handing.is_empty() || table.owned_by(least) >= part {
+        if !self.handing.is_empty() || table.owned_count(least) >= part {
             return Vec::new();
         }
         let surplus = mine.len().saturating_sub(most);
-        let wanted = part - table.owned_by(least);
+        let wanted = part - table.owned_count(least);
         let first = mine.into_iter().take(surplus.min(wanted));
         first
             .map(|(range, epoch)| (range, epoch, least.clone()))
--- a/src/ownership/mod.rs
+++ b/src/ownership/mod.rs
@@ -146,7 +146,7 @@
 
     /// Whether the table still names this process.
     pub fn owns_rows(&self, fleet: &Fleet) -> bool {
-        fleet.table().owned_by(&self.record.id) > 0
+        fleet.table().owned_count(&self.record.id) > 0
     }
 
     /// Ends the lease; the process has nothing left to do.
--- a/src/ownership/plan.rs
+++ b/src/ownership/plan.rs
@@ -8,7 +8,7 @@
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-use crate::fleet::{Holder, MemberRecord, Passage, Row, Table};
+use crate::fleet::{Acquisition, Holder, MemberRecord, Row, Table};
 use crate::id::{Epoch, MemberId, RangeId};
 
 /// What a plan is made from.
@@ -66,7 +66,7 @@
         let row = |index: usize| Row {
             owner: owners[index % count].holder(),
             epoch: Epoch(1),
-            passage: Passage::First,
+            acquisition: Acquisition::First,
             departure_ms: 0,
             since_ms: 0,
         };
@@ -108,7 +108,7 @@
             };
             let row = next.rows.get_mut(range.0 as usize);
             if let Some(row) = row.filter(|row| row.epoch == *epoch) {
-                row.pass(to.holder(), Passage::HandedOver, self.departure_ms);
+                row.pass(to.holder(), Acquisition::HandedOver, self.departure_ms);
             }
         }
     }
@@ -119,7 +119,7 @@
             let renewed = member.filter(|member| member.session > row.owner.session);
             if let Some(member) = renewed {
                 let since_ms = row.since_ms;
-                row.pass(member.holder(), Passage::Resumed, since_ms);
+                row.pass(member.holder(), Acquisition::Resumed, since_ms);
             }
         }
     }
@@ -128,7 +128,7 @@
         let owners = self.owners();
         let mut counts: Vec<usize> = owners
             .iter()
-            .map(|owner| next.owned_by(&owner.id))
+            .map(|owner| next.owned_count(&owner.id))
             .collect();
         for row in &mut next.rows {
             if self.members.contains_key(&row.owner.member) {
@@ -141,7 +141,7 @@
             counts[index] += 1;
             row.pass(
                 owners[index].holder(),
-                Passage::TakenOver,
+                Acquisition::TakenOver,
                 self.departure_ms,
             );
         }
@@ -149,10 +149,10 @@
 }
 
 impl Row {
-    fn pass(&mut self, owner: Holder, passage: Passage, since_ms: u64) {
+    fn pass(&mut self, owner: Holder, acquisition: Acquisition, since_ms: u64) {
         self.owner = owner;
         self.epoch = self.epoch.next();
-        self.passage = passage;
+        self.acquisition = acquisition;
         self.since_ms = since_ms;
     }
 }
--- a/src/placement.rs
+++ b/src/placement.rs
@@ -241,7 +241,7 @@
         let known = self.book.get(&record.id);
         let refuses = known.is_some_and(|known| known.sample.leaving);
         let fits = record.accelerators >= want.accelerators;
-        let leaving = record.leaving || refuses || fleet.bars(record);
+        let leaving = record.leaving || refuses || fleet.is_excluded(record);
         fits && !own && !leaving && !want.avoid.contains(&record.id)
     }
 
--- a/src/router.rs
+++ b/src/router.rs
@@ -13,7 +13,7 @@
 use crate::code::{Effect, ResultCode};
 use crate::fleet::Fleet;
 use crate::id::{Epoch, MemberId, SubmissionId};
-use crate::message::{Answer, Ask, Message, Submission};
+use crate::message::{Answer, Message, Operation, Submission};
 use crate::time::{Moment, micros};
 
 /// Delay before an owner that did not take an id is asked again.
@@ -57,7 +57,7 @@
     retry_us: u64,
 }
 
-type Key = (SubmissionId, Ask);
+type Key = (SubmissionId, Operation);
 
 /// The submissions that wait for an owner's answer.
 #[derive(Debug, Default)]
@@ -84,7 +84,7 @@
         &mut self,
         now: Moment,
         fleet: &Fleet,
-        ask: Ask,
+        ask: Operation,
         caller: Option<u64>,
         submission: Submission,
         fresh: bool,
@@ -130,8 +130,13 @@
     }
 
     /// An owner answered.
-    pub fn answered(&mut self, id: SubmissionId, about: Ask, answer: &Answer) -> Vec<RouterAction> {
-        let asks = [Ask::Submit, Ask::Cancel, Ask::Lookup];
+    pub fn answered(
+        &mut self,
+        id: SubmissionId,
+        about: Operation,
+        answer: &Answer,
+    ) -> Vec<RouterAction> {
+        let asks = [Operation::Submit, Operation::Cancel, Operation::Lookup];
         let settled = asks.into_iter().filter(|ask| about.answers(*ask));
         let replies = settled.filter_map(|ask| self.reply((id, ask), answer.clone()));
         replies.collect()
@@ -149,7 +154,7 @@
     /// A member that was thought to own an id does not; `untouched` says that
     /// it did nothing with this message.
     pub fn not_owner(&mut self, now: Moment, from: &MemberId, id: SubmissionId, untouched: bool) {
-        for ask in [Ask::Submit, Ask::Cancel, Ask::Lookup] {
+        for ask in [Operation::Submit, Operation::Cancel, Operation::Lookup] {
             let Some(pending) = self.pending.get_mut(&(id, ask)) else {
                 continue;
             };
@@ -264,12 +269,12 @@
         }]
     }
 
-    fn message(&self, now: Moment, ask: Ask) -> Message {
+    fn message(&self, now: Moment, ask: Operation) -> Message {
         let id = self.submission.id;
         match ask {
-            Ask::Cancel => Message::Cancel { id },
-            Ask::Lookup => Message::Lookup { id },
-            Ask::Submit => {
+            Operation::Cancel => Message::Cancel { id },
+            Operation::Lookup => Message::Lookup { id },
+            Operation::Submit => {
                 let budget_ms = now.left(self.deadline_us).as_millis() as u64;
                 let submission = Submission {
                     budget_ms,
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -15,13 +15,13 @@
 use winghold::code::Effect;
 use winghold::config::Config;
 use winghold::fleet::{
-    CONFIG_KEY, ConfigRecord, Fleet, MEMBER_PREFIX, MemberRecord, News, TABLE_KEY,
+    CONFIG_KEY, ConfigRecord, Fleet, FleetChanges, MEMBER_PREFIX, MemberRecord, TABLE_KEY,
 };
 use winghold::gate::RunResult;
 use winghold::id::{MemberId, SubmissionId, TaskId};
 use winghold::load::LoadSample;
 use winghold::member::{Member, MemberAction};
-use winghold::message::{Answer, Ask, Message, Submission, TaskOutcome};
+use winghold::message::{Answer, Message, Operation, Submission, TaskOutcome};
 use winghold::ownership::{StoreOp, parse_table};
 use winghold::router::{Router, RouterAction};
 use winghold::store::{Expect, LeaseId, StoreEntry, StoreError, StoreReply, StoreRequest};
@@ -297,7 +297,7 @@
 
     /// Submits through the entry.
     pub fn submit(&mut self, id: SubmissionId, kind: &str, tasks: usize, budget_ms: u64) {
-        let mut submission = Submission::question(id, budget_ms);
+        let mut submission = Submission::id_only(id, budget_ms);
         submission.call = self.rng.random();
         submission.service = "s".into();
         submission.kind = kind.into();
@@ -310,7 +310,7 @@
         let actions = self.router.ask(
             now,
             &self.entry_fleet,
-            Ask::Submit,
+            Operation::Submit,
             Some(1),
             submission,
             fresh,
@@ -320,12 +320,12 @@
 
     /// Cancels through the entry.
     pub fn cancel(&mut self, id: SubmissionId) {
-        let question = Submission::question(id, 2_000);
+        let question = Submission::id_only(id, 2_000);
         let now = self.now();
         let actions = self.router.ask(
             now,
             &self.entry_fleet,
-            Ask::Cancel,
+            Operation::Cancel,
             Some(2),
             question,
             false,
@@ -425,9 +425,9 @@
             MemberAction::Store { op, request } => self.call_store(index, now, op, request),
             MemberAction::Table(table) => {
                 let one = &mut self.members[index];
-                let news = News {
-                    table: one.fleet.take_table(table),
-                    ..News::default()
+                let news = FleetChanges {
+                    table: one.fleet.apply_table(table),
+                    ..FleetChanges::default()
                 };
                 one.member.on_news(now, &one.fleet, news);
             }
@@ -688,20 +688,20 @@
     }
 }
 
-fn take_entries(fleet: &mut Fleet, revision: u64, entries: &[StoreEntry]) -> News {
-    let mut news = News::default();
+fn take_entries(fleet: &mut Fleet, revision: u64, entries: &[StoreEntry]) -> FleetChanges {
+    let mut news = FleetChanges::default();
     let mut members = Vec::new();
     for entry in entries {
         if entry.key.starts_with(MEMBER_PREFIX) {
             members.extend(serde_json::from_slice::<MemberRecord>(&entry.value).ok());
         } else if entry.key == CONFIG_KEY {
             let record = serde_json::from_slice(&entry.value).expect("a record");
-            news.config = fleet.take_config(record);
+            news.config = fleet.apply_config(record);
         } else if entry.key == TABLE_KEY {
             let table = parse_table(entry).expect("a table");
-            news.table = fleet.take_table(table);
+            news.table = fleet.apply_table(table);
         }
     }
-    news.members = fleet.take_members(revision, members);
+    news.members = fleet.apply_members(revision, members);
     news
 }
--- a/tests/failures.rs
+++ b/tests/failures.rs
@@ -329,7 +329,7 @@
     };
     let (index, now, entry) = (fleet.owner_of(id), fleet.now(), fleet.entry.clone());
     let one = &mut fleet.members[index];
-    let mut submission = Submission::question(id, 5_000);
+    let mut submission = Submission::id_only(id, 5_000);
     submission.service = "s".into();
     submission.kind = "once".into();
     submission.tasks = vec!["{}".into()];
