--- a/src/member.rs
+++ b/src/member.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use crate::clocks::Clocks;
-use crate::fleet::{Fleet, MemberRecord, News, Table};
+use crate::fleet::{Fleet, FleetChanges, MemberRecord, Table};
 use crate::gate::{Gate, GateAction, GateSettings, RunResult};
 use crate::id::{MemberId, RangeId, TaskId};
 use crate::load::LoadSample;
@@ -216,7 +216,7 @@
 
     /// Handles the result of a run on the target.
     pub fn run_ended(&mut self, now: Moment, task: TaskId, result: RunResult) {
-        let actions = self.gate.ended(now, task, result);
+        let actions = self.gate.run_ended(now, task, result);
         self.push_gate_actions(actions);
     }
 
@@ -234,7 +234,7 @@
     }
 
     /// Applies a fleet update.
-    pub fn on_news(&mut self, now: Moment, fleet: &Fleet, news: News) {
+    pub fn on_news(&mut self, now: Moment, fleet: &Fleet, news: FleetChanges) {
         if news.config {
             self.owner.configure(fleet.config().clone());
         }
@@ -251,7 +251,7 @@
         let slots = fleet.gates(&self.service).map(|gate| gate.slots).sum();
         self.gate.configure(fleet.config(), slots);
         let rows = (0u32..).zip(&fleet.table().rows);
-        rows.for_each(|(index, row)| self.gate.raise_floor(RangeId(index), row.epoch));
+        rows.for_each(|(index, row)| self.gate.raise_min_epoch(RangeId(index), row.epoch));
     }
 
     fn reconcile(&mut self, now: Moment, fleet: &Fleet) {
@@ -305,7 +305,7 @@
         }
         let lease_expired = now.mono_us >= self.ownership.lease_until_us();
         let owns_ranges = self.ownership.owns_rows(fleet) && !lease_expired;
-        let busy = owns_ranges || !self.gate.idle() || !self.owner.is_idle();
+        let busy = owns_ranges || !self.gate.is_idle() || !self.owner.is_idle();
         if busy || now.mono_us < stopping.since_us + micros(MIN_STOP_DURATION) {
             return;
         }
@@ -322,7 +322,7 @@
 
     /// Adds a sample of the local load to those sent to peers.
     pub fn sample_own_load(&mut self, now: Moment) {
-        let sample = self.gate.sample();
+        let sample = self.gate.sample_load();
         self.owner.record_loads(now, &[sample]);
     }
 
--- a/src/owner/admission.rs
+++ b/src/owner/admission.rs
@@ -8,7 +8,7 @@
 use crate::config::Kind;
 use crate::fleet::Fleet;
 use crate::id::{MemberId, RangeId, SubmissionId, TaskId};
-use crate::message::{Answer, Ask, Message, RecoveredTask, Submission, TaskOutcome};
+use crate::message::{Answer, Message, Operation, RecoveredTask, Submission, TaskOutcome};
 use crate::owner::ranges::HeldRange;
 use crate::owner::submission::{Progress, Step, SubmissionRecord, TaskState};
 use crate::owner::{Owner, OwnerAction, OwnerActions, answer_to, send};
@@ -123,10 +123,10 @@
         if record.submission.digest != submission.digest {
             let text = "id was already used for another request";
             let answer = Answer::not_run(ResultCode::IdReused, text);
-            return vec![answer_to(from, id, Ask::Submit, answer)];
+            return vec![answer_to(from, id, Operation::Submit, answer)];
         }
         match record.answer().cloned() {
-            Some(answer) => vec![answer_to(from, id, Ask::Submit, answer)],
+            Some(answer) => vec![answer_to(from, id, Operation::Submit, answer)],
             None => {
                 record.add_waiter(from);
                 record.calls.push(submission.call);
@@ -173,11 +173,11 @@
             IdCheck::MayHaveStarted => {
                 let text = "outcome unknown: a previous owner may have run it";
                 let answer = Answer::failure(ResultCode::OutcomeUnknown, Effect::Unknown, text);
-                vec![answer_to(from, id, Ask::Submit, answer)]
+                vec![answer_to(from, id, Operation::Submit, answer)]
             }
             IdCheck::Rejected(code, effect, text) => {
                 let answer = Answer::failure(code, effect, text);
-                vec![answer_to(from, id, Ask::Submit, answer)]
+                vec![answer_to(from, id, Operation::Submit, answer)]
             }
         }
     }
@@ -256,7 +256,7 @@
         self.submissions.insert(id, record);
         self.expiries
             .insert((now.wall_ms + REFUSAL_RETENTION_MS, id));
-        vec![answer_to(from, id, Ask::Submit, answer)]
+        vec![answer_to(from, id, Operation::Submit, answer)]
     }
 
     /// Creates an open record and queues its waiting tasks.
@@ -328,7 +328,7 @@
         kind: &Kind,
     ) -> Option<Answer> {
         let wait_ms = self.backlog_ms(fleet, submission);
-        let run_ms = self.run_times.expect(&submission.service, kind) / 1_000;
+        let run_ms = self.run_times.expected_us(&submission.service, kind) / 1_000;
         if self.backlog.is_empty() || wait_ms + run_ms <= submission.budget_ms {
             return None;
         }
@@ -346,9 +346,9 @@
             .sum();
         let owners = fleet.table().gates.len().max(1) as u64;
         let ahead = self.backlog.ahead_of(submission.priority) as u64;
-        let mean_us = self
-            .kind(submission)
-            .map_or(0, |kind| self.run_times.expect(&submission.service, kind));
+        let mean_us = self.kind(submission).map_or(0, |kind| {
+            self.run_times.expected_us(&submission.service, kind)
+        });
         ahead * owners * mean_us / u64::from(slots.max(1)) / 1_000
     }
 
@@ -394,7 +394,7 @@
     fn overloaded_answer(&self, submission: &Submission) -> Answer {
         let text = "queue full: work of the same or higher priority has precedence";
         let mean_ms = self.kind(submission).map_or(0, |kind| {
-            self.run_times.expect(&submission.service, kind) / 1_000
+            self.run_times.expected_us(&submission.service, kind) / 1_000
         });
         let answer = Answer::not_run(ResultCode::Overloaded, text);
         answer.retry_after(mean_ms.max(MIN_RETRY_AFTER_MS))
@@ -450,7 +450,7 @@
                 "submission not found",
             ),
         };
-        vec![answer_to(from, id, Ask::Lookup, answer)]
+        vec![answer_to(from, id, Operation::Lookup, answer)]
     }
 
     /// Cancels a submission; idempotent.
@@ -464,7 +464,7 @@
             .and_then(SubmissionRecord::answer)
             .cloned();
         if let Some(answer) = ended {
-            return vec![answer_to(from, id, Ask::Cancel, answer)];
+            return vec![answer_to(from, id, Operation::Cancel, answer)];
         }
         match self.submissions.get_mut(&id) {
             Some(record) => {
@@ -485,7 +485,7 @@
             _ => Effect::Unknown,
         };
         let answer = Answer::failure(ResultCode::Cancelled, effect, "cancelled");
-        let submission = Submission::question(id, 0);
+        let submission = Submission::id_only(id, 0);
         self.open(now, std::slice::from_ref(from), submission, Vec::new());
         self.end(now, id, answer)
     }
--- a/src/owner/dispatch.rs
+++ b/src/owner/dispatch.rs
@@ -214,7 +214,7 @@
         else {
             return None;
         };
-        let expected_us = self.run_times.expect(&service, &kind);
+        let expected_us = self.run_times.expected_us(&service, &kind);
         self.placer.record_sent(now, &gate);
         self.backlog.remove(task);
         let record = self.submissions.get_mut(&task.submission)?;
--- a/src/owner/progress.rs
+++ b/src/owner/progress.rs
@@ -5,7 +5,7 @@
 use crate::code::{Effect, ResultCode};
 use crate::fleet::Fleet;
 use crate::id::{MemberId, SubmissionId, TaskId};
-use crate::message::{Answer, Ask, Message, Refusal, TaskOutcome};
+use crate::message::{Answer, Message, Operation, Refusal, TaskOutcome};
 use crate::owner::submission::{self, Progress, Step, TaskState};
 use crate::owner::{Owner, OwnerActions, answer_to, send};
 use crate::time::{Moment, micros};
@@ -112,7 +112,7 @@
         if let TaskOutcome::Done(_) = outcome {
             let submission = &record.submission;
             self.run_times
-                .learn(&submission.service, &submission.kind, run_us);
+                .record(&submission.service, &submission.kind, run_us);
         }
         let mut actions = match &mut record.progress {
             Progress::Recovered { tasks } => {
@@ -259,7 +259,7 @@
             return None;
         };
         let kind = self.kind(&record.submission)?;
-        let expected_us = self.run_times.expect(&record.submission.service, kind);
+        let expected_us = self.run_times.expected_us(&record.submission.service, kind);
         let start = self.start(now, task, *attempt, expected_us)?;
         Some(send(gate, Message::Start(Box::new(start))))
     }
@@ -382,7 +382,7 @@
         self.expiries.insert((expiry, id));
         let waiters = std::mem::take(&mut record.waiters);
         let mut actions = self.release_tasks(id, &previous, &gates);
-        let message = |to: &MemberId| answer_to(to, id, Ask::Submit, answer.clone());
+        let message = |to: &MemberId| answer_to(to, id, Operation::Submit, answer.clone());
         actions.extend(waiters.iter().map(message));
         actions
     }
--- a/src/owner/ranges.rs
+++ b/src/owner/ranges.rs
@@ -9,7 +9,7 @@
 use std::collections::{BTreeMap, HashSet};
 use std::time::Duration;
 
-use crate::fleet::{Fleet, Holder, Passage, Row};
+use crate::fleet::{Acquisition, Fleet, Holder, Row};
 use crate::id::{Epoch, MemberId, RangeId, SubmissionId, TaskId};
 use crate::message::{
     Handover, HandoverEntry, HandoverTask, Message, RecoveredTask, StartedTask, Submission,
@@ -169,12 +169,12 @@
     fn acquire(&mut self, now: Moment, range: RangeId, row: &Row) -> OwnerActions {
         let previous_epoch = self.ranges.get(&range).map(|held| held.epoch);
         let handover = self.handovers.remove(&range);
-        match row.passage {
-            Passage::First => self.insert_active(range, row.epoch, 0, 0),
-            Passage::Resumed if previous_epoch.map(Epoch::next) == Some(row.epoch) => {
+        match row.acquisition {
+            Acquisition::First => self.insert_active(range, row.epoch, 0, 0),
+            Acquisition::Resumed if previous_epoch.map(Epoch::next) == Some(row.epoch) => {
                 self.resume_range(now, range, row.epoch)
             }
-            Passage::HandedOver => match handover {
+            Acquisition::HandedOver => match handover {
                 Some(handover) if handover.epoch.next() == row.epoch => {
                     self.apply_handover(now, range, row.epoch, handover)
                 }
@@ -375,7 +375,7 @@
             .submissions
             .entry(id)
             .or_insert_with(|| SubmissionRecord {
-                submission: Submission::question(id, 0),
+                submission: Submission::id_only(id, 0),
                 range,
                 progress: Progress::Recovered {
                     tasks: BTreeMap::new(),
--- a/src/ownership/handover.rs
+++ b/src/ownership/handover.rs
@@ -76,7 +76,7 @@
             .collect();
         others.sort_by_key(|member| rank(&member.id, 0));
         others.truncate(fleet.config().ownership.max_owners);
-        others.sort_by_key(|member| table.owned_by(&member.id));
+        others.sort_by_key(|member| table.owned_count(&member.id));
         others.iter().map(|member| member.id.clone()).collect()
     }
 
@@ -104,11 +104,11 @@
         let owners = successors.len() + 1;
         let (fair_share, remainder) = (table.rows.len() / owners, table.rows.len() % owners);
         let max_rows = fair_share + usize::from(remainder > 0);
-        if !self.handovers.is_empty() || table.owned_by(least) >= fair_share {
+        if !self.handovers.is_empty() || table.owned_count(least) >= fair_share {
             return Vec::new();
         }
         let surplus = own_ranges.len().saturating_sub(max_rows);
-        let wanted = fair_share - table.owned_by(least);
+        let wanted = fair_share - table.owned_count(least);
         let first = own_ranges.into_iter().take(surplus.min(wanted));
         first
             .map(|(range, epoch)| (range, epoch, least.clone()))
--- a/src/ownership/mod.rs
+++ b/src/ownership/mod.rs
@@ -146,7 +146,7 @@
 
     /// Whether the table assigns any range to this process.
     pub fn owns_rows(&self, fleet: &Fleet) -> bool {
-        fleet.table().owned_by(&self.record.id) > 0
+        fleet.table().owned_count(&self.record.id) > 0
     }
 
     /// Requests the end of the lease.
--- a/src/placement.rs
+++ b/src/placement.rs
@@ -16,7 +16,7 @@
 use crate::config::{Config, Placement, Policy};
 use crate::fleet::{Fleet, MemberRecord};
 use crate::id::MemberId;
-use crate::load::{Known, LoadBook, LoadSample};
+use crate::load::{KnownLoad, LoadSample, LoadTable};
 use crate::time::{Moment, micros};
 
 /// A sample may not include tasks sent within this time before its arrival.
@@ -80,7 +80,7 @@
     id: MemberId,
     failure_domain: String,
     config: Arc<Config>,
-    loads: LoadBook,
+    loads: LoadTable,
     sent: HashMap<MemberId, SentTasks>,
     ejected: HashMap<MemberId, Ejection>,
     round_robin_index: usize,
@@ -121,7 +121,7 @@
             id,
             failure_domain: failure_domain.to_string(),
             config,
-            loads: LoadBook::default(),
+            loads: LoadTable::default(),
             sent: HashMap::new(),
             ejected: HashMap::new(),
             round_robin_index: 0,
@@ -178,7 +178,7 @@
     }
 
     /// Latest known load of `gate`.
-    pub fn load_of(&self, gate: &MemberId) -> Option<&Known> {
+    pub fn load_of(&self, gate: &MemberId) -> Option<&KnownLoad> {
         self.loads.get(gate)
     }
 
@@ -203,7 +203,7 @@
 
     /// Removes a departed gate.
     pub fn remove_gate(&mut self, gate: &MemberId) {
-        self.loads.forget(gate);
+        self.loads.remove(gate);
         self.sent.remove(gate);
         self.ejected.remove(gate);
     }
@@ -245,7 +245,7 @@
         let known = self.loads.get(&record.id);
         let sampled_leaving = known.is_some_and(|known| known.sample.leaving);
         let fits = record.accelerators >= request.accelerators;
-        let leaving = record.leaving || sampled_leaving || fleet.bars(record);
+        let leaving = record.leaving || sampled_leaving || fleet.is_excluded(record);
         fits && !is_own && !leaving && !request.avoid.contains(&record.id)
     }
 
@@ -360,7 +360,7 @@
 
 /// Estimated load ahead of a task at a target. The load of an old sample is reduced by
 /// the tasks that have likely finished since.
-fn estimated_load(now: Moment, known: &Known, slots: u32, urgent: bool) -> f64 {
+fn estimated_load(now: Moment, known: &KnownLoad, slots: u32, urgent: bool) -> f64 {
     let sample = &known.sample;
     let queued = if urgent {
         sample.urgent_queued
--- a/src/router.rs
+++ b/src/router.rs
@@ -11,7 +11,7 @@
 use crate::code::{Effect, ResultCode};
 use crate::fleet::Fleet;
 use crate::id::{Epoch, MemberId, SubmissionId};
-use crate::message::{Answer, Ask, Message, Submission};
+use crate::message::{Answer, Message, Operation, Submission};
 use crate::time::{Moment, micros};
 
 /// Delay before a request without an owner is forwarded again.
@@ -55,7 +55,7 @@
     retry_us: u64,
 }
 
-type RequestKey = (SubmissionId, Ask);
+type RequestKey = (SubmissionId, Operation);
 
 /// Requests that wait for an owner's answer.
 #[derive(Debug, Default)]
@@ -82,7 +82,7 @@
         &mut self,
         now: Moment,
         fleet: &Fleet,
-        ask: Ask,
+        ask: Operation,
         caller: Option<u64>,
         submission: Submission,
         fresh: bool,
@@ -131,10 +131,10 @@
     pub fn on_answer(
         &mut self,
         id: SubmissionId,
-        about: Ask,
+        about: Operation,
         answer: &Answer,
     ) -> Vec<RouterAction> {
-        let asks = [Ask::Submit, Ask::Cancel, Ask::Lookup];
+        let asks = [Operation::Submit, Operation::Cancel, Operation::Lookup];
         let settled = asks.into_iter().filter(|ask| about.answers(*ask));
         let replies = settled.filter_map(|ask| self.reply((id, ask), answer.clone()));
         replies.collect()
@@ -158,7 +158,7 @@
         id: SubmissionId,
         untouched: bool,
     ) {
-        for ask in [Ask::Submit, Ask::Cancel, Ask::Lookup] {
+        for ask in [Operation::Submit, Operation::Cancel, Operation::Lookup] {
             let Some(pending) = self.pending.get_mut(&(id, ask)) else {
                 continue;
             };
@@ -276,12 +276,12 @@
         }]
     }
 
-    fn message(&self, now: Moment, ask: Ask) -> Message {
+    fn message(&self, now: Moment, ask: Operation) -> Message {
         let id = self.submission.id;
         match ask {
-            Ask::Cancel => Message::Cancel { id },
-            Ask::Lookup => Message::Lookup { id },
-            Ask::Submit => {
+            Operation::Cancel => Message::Cancel { id },
+            Operation::Lookup => Message::Lookup { id },
+            Operation::Submit => {
                 let budget_ms = now.left(self.deadline_us).as_millis() as u64;
                 let submission = Submission {
                     budget_ms,
