--- a/src/ephemeral/dispatcher/caller_waits.rs
+++ b/src/ephemeral/dispatcher/caller_waits.rs
@@ -1,21 +1,18 @@
-//! How long callers usually wait, and who has sent its job before.
+//! Detects resent jobs by their callers' waits.
 //!
-//! A caller that sends a job again has less time left than callers of its route
-//! usually have, and the objective of its job is past. Where room is short, jobs
-//! that can still meet theirs go first: after a restart up to half of all jobs come
-//! for the second time.
+//! A caller that submits a job again waits for less time than is usual for its route. The
+//! objective of such a job is past, so other jobs go first where room is short.
 
 use std::collections::HashMap;
 use std::sync::Arc;
 
-/// Part of the usual wait below which a job was sent before. Callers wait for 2 to 7 s and send again after 1.3 s; waits of one route vary by a
-/// tenth, those of the longest tasks by a third.
-const SENT_BEFORE_BELOW: f64 = 0.7;
-/// Weight of a new wait in the usual one.
+/// Share of the usual wait below which a job counts as resent.
+const RESEND_THRESHOLD: f64 = 0.7;
+/// Weight of a new wait in the average.
 const WEIGHT: f64 = 0.1;
-/// The same for a wait that tells of an earlier sending; not zero, because callers
-/// may change their minds for good.
-const SENT_BEFORE_WEIGHT: f64 = 0.02;
+/// The same for a job that counts as resent; above zero so that the average follows a
+/// lasting change.
+const RESEND_WEIGHT: f64 = 0.02;
 
 /// Usual waits by route.
 #[derive(Debug, Default)]
@@ -24,16 +21,17 @@
 }
 
 impl CallerWaits {
-    /// A caller of `route` waits for `wait_us`: whether it has sent before.
-    pub fn was_sent_before(&mut self, route: &Arc<str>, wait_us: u64) -> bool {
+    /// Records that a caller of `route` waits for `wait_us`; returns whether the job is
+    /// resent.
+    pub fn is_resend(&mut self, route: &Arc<str>, wait_us: u64) -> bool {
         let wait_us = wait_us as f64;
         let usual_us = self.usual_us.entry(route.clone()).or_insert(wait_us);
-        let sent_before = wait_us < *usual_us * SENT_BEFORE_BELOW;
-        let weight = match sent_before {
-            true => SENT_BEFORE_WEIGHT,
+        let is_resend = wait_us < *usual_us * RESEND_THRESHOLD;
+        let weight = match is_resend {
+            true => RESEND_WEIGHT,
             false => WEIGHT,
         };
         *usual_us += weight * (wait_us - *usual_us);
-        sent_before
+        is_resend
     }
 }
--- a/src/ephemeral/dispatcher/config.rs
+++ b/src/ephemeral/dispatcher/config.rs
@@ -1,12 +1,9 @@
-//! Configurations that other entries have and this one could not read.
+//! Transfer of newer configurations from other entries, by way of gates.
 //!
-//! Each entry reads the configuration in the store and tells gates its version. A
-//! gate passes the version on, nothing else; an entry that stays behind asks for the
-//! document, part by part, and a gate asks an entry that has it. One part at a time
-//! is under way, so a document of any size holds up the heartbeats and orders on the
-//! same connections by one part at most. Where every entry sent a document of 2,800
-//! routes to every gate, links of 25 Mbit/s were full for seconds, sessions ended and
-//! began with it again, and next to no job was served (a deployment of 82 machines).
+//! Each entry reads the configuration from the store and announces its version to the
+//! gates, which pass the version on. An entry with an older version requests the document
+//! part by part, and a gate forwards each request to an entry that has it. Only one part is
+//! in transit at a time, so a large document does not delay heartbeats and orders.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -19,28 +16,28 @@
 use crate::ephemeral::session::SessionId;
 use crate::time::{Moment, micros};
 
-/// How long an entry leaves it to the store to give it a version that others have:
-/// the largest document (1 MB, in base64) takes 0.45 s on 25 Mbit/s.
-const STORE_FIRST: Duration = Duration::from_secs(1);
+/// How long the store may take to deliver a version that other entries have; longer than
+/// the largest document takes on a slow link.
+const STORE_GRACE_PERIOD: Duration = Duration::from_secs(1);
 
-/// The configuration in force here, and the newer one that others have.
+/// Current configuration, and the newer one that other entries have.
 #[derive(Debug, Default)]
 pub(super) struct Configs {
     current: Option<ConfigDocument>,
-    behind: Option<Behind>,
+    newer: Option<NewerVersion>,
 }
 
-/// A version that others have.
+/// Newer version that other entries have.
 #[derive(Debug)]
-struct Behind {
+struct NewerVersion {
     version: u64,
     since_us: u64,
-    /// Gates that were asked so far.
+    /// Number of requests sent to gates.
     tries: u64,
     fetch: Option<Fetch>,
 }
 
-/// A document that comes part by part.
+/// Partly received document.
 #[derive(Debug)]
 struct Fetch {
     version: u64,
@@ -49,44 +46,44 @@
 }
 
 impl Configs {
-    /// The version in force; 0 if there is none.
+    /// Current version; 0 if there is none.
     pub(super) fn version(&self) -> u64 {
         self.current.as_ref().map_or(0, |document| document.version)
     }
 
-    /// A gate says that some entry has this version.
-    fn heard_of(&mut self, now: Moment, version: u64) {
+    /// Records that some entry has this version.
+    fn record_version(&mut self, now: Moment, version: u64) {
         if version <= self.version() {
             return;
         }
-        let behind = self.behind.get_or_insert(Behind {
+        let newer = self.newer.get_or_insert(NewerVersion {
             version,
             since_us: now.mono_us,
             tries: 0,
             fetch: None,
         });
-        behind.version = behind.version.max(version);
+        newer.version = newer.version.max(version);
     }
 
-    fn put_in_force(&mut self, document: ConfigDocument) {
-        self.behind = self
-            .behind
+    fn set_current(&mut self, document: ConfigDocument) {
+        self.newer = self
+            .newer
             .take()
-            .filter(|behind| behind.version > document.version);
+            .filter(|newer| newer.version > document.version);
         self.current = Some(document);
     }
 }
 
-impl Behind {
-    /// Whether a part should be asked for, or be asked for anew elsewhere.
+impl NewerVersion {
+    /// Whether a part should be requested, or requested again from another gate.
     fn is_due(&self, now: Moment, silence: Duration) -> bool {
         match &self.fetch {
-            None => now.mono_us >= self.since_us + micros(STORE_FIRST),
+            None => now.mono_us >= self.since_us + micros(STORE_GRACE_PERIOD),
             Some(fetch) => now.mono_us >= fetch.asked_us + micros(silence),
         }
     }
 
-    /// What to ask for next.
+    /// Next part to request.
     fn wanted(&mut self, now: Moment) -> PartWanted {
         let version = self.version;
         let fetch = self.fetch.get_or_insert(Fetch {
@@ -103,8 +100,7 @@
 }
 
 impl Fetch {
-    /// Takes a part if it is the next one; whoever has a newer version than the one
-    /// asked for begins with that.
+    /// Appends a part if it is the next one. The first part of a newer version starts over.
     fn take(&mut self, part: &ConfigPart) -> bool {
         if part.version > self.version && part.offset == 0 {
             self.version = part.version;
@@ -119,8 +115,8 @@
 }
 
 impl Dispatcher {
-    /// This configuration is in force here; tells gates its version.
-    pub fn config_in_force(&mut self, document: ConfigDocument) {
+    /// Makes a configuration current and announces its version to the gates.
+    pub fn apply_config(&mut self, document: ConfigDocument) {
         if document.version <= self.configs.version() {
             return;
         }
@@ -130,54 +126,59 @@
             message: ToGate::ConfigVersion(document.version),
         });
         self.actions.extend(sends);
-        self.configs.put_in_force(document);
+        self.configs.set_current(document);
     }
 
-    /// A gate tells the newest version that it knows an entry to have.
-    pub(super) fn gate_knows_config(&mut self, now: Moment, name: &Arc<str>, version: u64) {
+    /// Records the newest version that a gate has announced.
+    pub(super) fn record_gate_config(&mut self, now: Moment, name: &Arc<str>, version: u64) {
         if let Some(gate) = self.gates.get_mut(name) {
             gate.config = version;
         }
-        self.configs.heard_of(now, version);
+        self.configs.record_version(now, version);
     }
 
-    /// Asks for what the store did not give in time.
+    /// Requests a newer configuration that the store did not deliver in time.
     pub(super) fn fetch_config(&mut self, now: Moment) {
         let silence = self.limits.silence;
-        let Some(behind) = &mut self.configs.behind else {
+        let Some(newer) = &mut self.configs.newer else {
             return;
         };
-        if !behind.is_due(now, silence) {
+        if !newer.is_due(now, silence) {
             return;
         }
-        let knowing = self
+        let holders = self
             .gates
             .iter()
-            .filter(|(_, gate)| gate.config >= behind.version && !gate.quiet);
-        let knowing: Vec<(&Arc<str>, SessionId)> = knowing
+            .filter(|(_, gate)| gate.config >= newer.version && !gate.quiet);
+        let holders: Vec<(&Arc<str>, SessionId)> = holders
             .filter_map(|(name, gate)| Some((name, gate.session?)))
             .collect();
-        if knowing.is_empty() {
+        if holders.is_empty() {
             return;
         }
-        // Entries begin at different gates, and each try goes to another one.
-        let turn = self.me.incarnation.wrapping_add(behind.tries) % knowing.len() as u64;
-        let (name, session) = knowing[turn as usize];
-        behind.tries += 1;
-        let wanted = behind.wanted(now);
+        // Each entry starts at a different gate, and each attempt goes to the next one.
+        let index = self.process_id.incarnation.wrapping_add(newer.tries) % holders.len() as u64;
+        let (name, session) = holders[index as usize];
+        newer.tries += 1;
+        let wanted = newer.wanted(now);
         info!(self.log, "configuration asked for"; "version" => wanted.version,
-            "offset" => wanted.offset, "gate" => &**name, "tries" => behind.tries,
-            "behind_us" => now.mono_us - behind.since_us);
+            "offset" => wanted.offset, "gate" => &**name, "tries" => newer.tries,
+            "behind_us" => now.mono_us - newer.since_us);
         let message = ToGate::WantConfig(wanted);
         self.actions.push(DispatchAction::Send { session, message });
     }
 
-    /// Part of a newer configuration came from a gate.
-    pub(super) fn config_part(&mut self, now: Moment, session: SessionId, part: &ConfigPart) {
-        let Some(behind) = &mut self.configs.behind else {
+    /// Handles a part of a newer configuration.
+    pub(super) fn receive_config_part(
+        &mut self,
+        now: Moment,
+        session: SessionId,
+        part: &ConfigPart,
+    ) {
+        let Some(newer) = &mut self.configs.newer else {
             return;
         };
-        let Some(fetch) = &mut behind.fetch else {
+        let Some(fetch) = &mut newer.fetch else {
             return;
         };
         if !fetch.take(part) {
@@ -188,16 +189,16 @@
                 version: fetch.version,
                 text: std::mem::take(&mut fetch.text).freeze(),
             };
-            self.configs.behind = None;
-            self.actions.push(DispatchAction::Learned(document));
+            self.configs.newer = None;
+            self.actions.push(DispatchAction::ConfigReceived(document));
             return;
         }
-        let message = ToGate::WantConfig(behind.wanted(now));
+        let message = ToGate::WantConfig(newer.wanted(now));
         self.actions.push(DispatchAction::Send { session, message });
     }
 
-    /// A gate asks on behalf of another entry.
-    pub(super) fn give_config_part(
+    /// Answers a request of another entry, forwarded by a gate.
+    pub(super) fn send_config_part(
         &mut self,
         session: SessionId,
         asker: SessionId,
--- a/src/ephemeral/dispatcher/congestion.rs
+++ b/src/ephemeral/dispatcher/congestion.rs
@@ -1,61 +1,56 @@
-//! Whether workers are full for a moment or for long.
+//! Congestion level: whether workers are full for a moment or persistently.
 //!
-//! A short rush is best waited out. Where the wait for room stands, waiting
-//! serves nobody: each job that is let wait makes the next one late. So the part
-//! of its patience that a job may wait shrinks with the wait that jobs have found
-//! of late.
-//!
-//! Waits are looked at by priority: those of less urgent jobs say nothing about more
-//! urgent ones, which go before them.
+//! A short burst is best waited out, but in persistent congestion each job that waits
+//! delays the next one. Admission therefore lowers the wait that it allows as the level
+//! rises. The level follows the expected waits of recent jobs. It is kept by priority, as
+//! less urgent jobs do not delay more urgent ones.
 
 use std::collections::BTreeMap;
 
 use crate::ephemeral::job::Priority;
 use crate::time::Moment;
 
-/// Time over which waits are looked back on, in typical run times: in about one, a
-/// rush either ends or has filled the queues.
-const LOOK_BACK: f64 = 1.25;
-/// Part of their patience that jobs wait from which congestion stands in full.
-const STANDING: f64 = 0.35;
-/// Most of the look-back that one job stands for.
-const MOST_WEIGHT: f64 = 0.25;
+/// Time constant of the average, in typical run times.
+const WINDOW_RUN_TIMES: f64 = 1.25;
+/// Average wait, as a share of patience, at which the level is 1.
+const FULL_LEVEL_WAIT: f64 = 0.35;
+/// Limit of the elapsed time that one job accounts for, in time constants.
+const MAX_SAMPLE_WEIGHT: f64 = 0.25;
 
-/// The wait for room that jobs have found of late.
+/// Average expected wait of recent jobs.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Congestion {
-    /// In parts of the patience of the jobs that found it.
+    /// As a share of the jobs' patience.
     wait: f64,
     at_us: u64,
 }
 
 impl Congestion {
-    /// A job found that its first task would wait for `wait`, as a part of its
-    /// patience, where tasks typically run for `typical_us`.
+    /// Records that the first task of a job is expected to wait for `wait`, as a share of
+    /// its patience, where tasks typically run for `typical_us`.
     pub fn observe(&mut self, now: Moment, wait: f64, typical_us: u64) {
         let elapsed = self.elapsed(now, typical_us);
         self.at_us = now.mono_us;
-        // After a pause a single job does not tell that congestion stands.
-        let added = 1.0 - (-elapsed).max(-MOST_WEIGHT).exp();
+        // After a pause, a single job must not raise the level to its own wait.
+        let added = 1.0 - (-elapsed).max(-MAX_SAMPLE_WEIGHT).exp();
         self.wait = (-elapsed).exp() * self.wait + added * wait.min(1.0);
     }
 
-    /// Time since the last job, in look-backs.
+    /// Time since the last job, in time constants.
     fn elapsed(&self, now: Moment, typical_us: u64) -> f64 {
-        let look_back_us = LOOK_BACK * typical_us.max(1) as f64;
-        now.mono_us.saturating_sub(self.at_us) as f64 / look_back_us
+        let window_us = WINDOW_RUN_TIMES * typical_us.max(1) as f64;
+        now.mono_us.saturating_sub(self.at_us) as f64 / window_us
     }
 
-    /// How far congestion stood when the last job came: 0 where there was room, 1 where
-    /// there was none.
+    /// Level at the last job: 0 if there was room, 1 at full congestion.
     pub fn level(&self) -> f64 {
-        (self.wait / STANDING).min(1.0)
+        (self.wait / FULL_LEVEL_WAIT).min(1.0)
     }
 
-    /// The same as far as it is not forgotten by now.
-    fn level_now(&self, now: Moment, typical_us: u64) -> f64 {
+    /// Level, decayed up to now.
+    fn decayed_level(&self, now: Moment, typical_us: u64) -> f64 {
         let wait = self.wait * (-self.elapsed(now, typical_us)).exp();
-        (wait / STANDING).min(1.0)
+        (wait / FULL_LEVEL_WAIT).min(1.0)
     }
 }
 
@@ -66,15 +61,15 @@
 }
 
 impl CongestionByPriority {
-    /// What jobs of `priority` find.
+    /// Congestion for jobs of `priority`.
     pub fn class(&mut self, priority: Priority) -> &mut Congestion {
         self.classes.entry(priority).or_default()
     }
 
-    /// How far congestion stands for jobs that go before those of `priority`.
-    pub fn level_before(&self, now: Moment, priority: Priority, typical_us: u64) -> f64 {
-        let before = self.classes.range(..priority);
-        let levels = before.map(|(_, class)| class.level_now(now, typical_us));
+    /// Highest level among priorities more urgent than `priority`.
+    pub fn level_above(&self, now: Moment, priority: Priority, typical_us: u64) -> f64 {
+        let more_urgent = self.classes.range(..priority);
+        let levels = more_urgent.map(|(_, class)| class.decayed_level(now, typical_us));
         levels.fold(0.0, f64::max)
     }
 }
--- a/src/ephemeral/dispatcher/fair_shares.rs
+++ b/src/ephemeral/dispatcher/fair_shares.rs
@@ -1,10 +1,8 @@
-//! Kinds of jobs that ask for more than they usually do.
+//! Fair shares: detects routes whose demand exceeds its usual rate.
 //!
-//! Each route has a token bucket that fills at the rate of work that its callers ask for
-//! while there is room. Where room is short, a job without tokens is surplus, and only
-//! gets room that is left by others. An entry that does not know the usual demand yet
-//! treats all jobs alike. Jobs of the most urgent priority are never surplus: they go
-//! before the others however many there are.
+//! Each route has a token bucket that fills at its average demand outside congestion.
+//! During congestion a job without tokens is surplus and only gets spare room. While the
+//! usual demand is unknown, no job is surplus. Jobs of the most urgent priority never are.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -15,64 +13,64 @@
 use crate::ephemeral::job::Priority;
 use crate::time::{Moment, micros};
 
-/// Time over which the usual demand is averaged.
-const LOOK_BACK: Duration = Duration::from_secs(10);
-/// Least time without congestion after which the usual demand is known.
-const LEAST_CALM: Duration = Duration::from_secs(1);
-/// Congestion from which room counts as short.
-const SHORT_OF_ROOM: f64 = 0.1;
-/// Times its usual demand that a route may go on asking for.
-const ALLOWANCE: f64 = 1.25;
-/// Longest pause between two jobs that counts: callers that were cut off or gone for a
-/// while come back with their usual demand.
-const LONGEST_PAUSE: Duration = Duration::from_secs(1);
-/// Demand that may come at once; callers of calm routes come in clusters too.
-const DEPTH: Duration = Duration::from_secs(1);
-/// The same in jobs of a route with few of them.
-const DEPTH_JOBS: f64 = 2.0;
+/// Averaging period of the usual demand.
+const DEMAND_WINDOW: Duration = Duration::from_secs(10);
+/// Time without congestion after which the usual demand counts as known.
+const MIN_CALM: Duration = Duration::from_secs(1);
+/// Congestion level above which room counts as short.
+const CONGESTED_LEVEL: f64 = 0.1;
+/// Rate at which the bucket fills, as a multiple of the usual demand.
+const RATE_ALLOWANCE: f64 = 1.25;
+/// Longest interval between two jobs that counts, so that callers returning after an outage
+/// do not lower the usual demand.
+const MAX_PAUSE: Duration = Duration::from_secs(1);
+/// Bucket size, as time at the usual demand.
+const BUCKET_DEPTH: Duration = Duration::from_secs(1);
+/// Minimum bucket size in jobs, for routes with few jobs.
+const MIN_BUCKET_JOBS: f64 = 2.0;
 
-/// What callers of one route ask for, in core-microseconds.
+/// Demand of one route, in core-microseconds.
 #[derive(Debug, Default)]
 struct Demand {
-    /// Usual demand, a microsecond.
-    usual: f64,
-    /// Time without congestion that this was learned in, in microseconds.
+    /// Usual demand per microsecond.
+    usual_per_us: f64,
+    /// Time without congestion over which it was averaged, in microseconds.
     calm_us: f64,
-    /// Demand since then.
-    asked: f64,
+    /// Demand not yet averaged in.
+    pending_work: f64,
     tokens: f64,
     at_us: u64,
 }
 
 impl Demand {
-    /// Takes in a job of this much work; whether there are tokens for it.
-    fn take(&mut self, now: Moment, work: f64, congested: bool) -> bool {
+    /// Takes tokens for a job of this much work; returns whether there were enough.
+    fn try_take(&mut self, now: Moment, work: f64, congested: bool) -> bool {
         let since_us = match self.at_us {
             0 => now.mono_us,
             at_us => at_us,
         };
-        let elapsed_us = (now.mono_us - since_us).min(micros(LONGEST_PAUSE)) as f64;
+        let elapsed_us = (now.mono_us - since_us).min(micros(MAX_PAUSE)) as f64;
         self.at_us = now.mono_us;
         if !congested {
             self.learn(elapsed_us, work);
         }
-        let depth = (self.usual * micros(DEPTH) as f64).max(work * DEPTH_JOBS);
-        self.tokens = (self.tokens + self.usual * ALLOWANCE * elapsed_us).min(depth);
+        let depth = (self.usual_per_us * micros(BUCKET_DEPTH) as f64).max(work * MIN_BUCKET_JOBS);
+        self.tokens = (self.tokens + self.usual_per_us * RATE_ALLOWANCE * elapsed_us).min(depth);
         let within = self.tokens >= work;
         if within {
             self.tokens -= work;
         }
-        within || self.calm_us < micros(LEAST_CALM) as f64
+        within || self.calm_us < micros(MIN_CALM) as f64
     }
 
     fn learn(&mut self, elapsed_us: f64, work: f64) {
-        let most_us = micros(LOOK_BACK) as f64;
-        self.calm_us = (self.calm_us + elapsed_us).min(most_us);
+        let window_us = micros(DEMAND_WINDOW) as f64;
+        self.calm_us = (self.calm_us + elapsed_us).min(window_us);
         let weight = (elapsed_us / self.calm_us.max(1.0)).min(1.0);
-        self.asked += work;
+        self.pending_work += work;
         if elapsed_us > 0.0 {
-            self.usual += weight * (self.asked / elapsed_us - self.usual);
-            self.asked = 0.0;
+            self.usual_per_us += weight * (self.pending_work / elapsed_us - self.usual_per_us);
+            self.pending_work = 0.0;
         }
     }
 }
@@ -84,20 +82,20 @@
 }
 
 impl Dispatcher {
-    /// Counts a job; whether it is surplus where room is short.
+    /// Counts a job and returns whether it is surplus.
     pub(super) fn is_surplus(&mut self, now: Moment, job: &Job) -> bool {
-        let exempt = job.route.priority(&self.scheduling) == Priority::URGENT;
-        if !self.scheduling.fair_shares || exempt {
+        let is_exempt = job.route.priority(&self.scheduling) == Priority::URGENT;
+        if !self.scheduling.fair_shares || is_exempt {
             return false;
         }
         let typical_us = self.typical_run.us();
         let level = self
             .congestion
-            .level_before(now, Priority::SPARE_ROOM, typical_us);
-        let congested = level > SHORT_OF_ROOM;
+            .level_above(now, Priority::SPARE_ROOM, typical_us);
+        let congested = level > CONGESTED_LEVEL;
         let name = job.route.name.clone();
         let demand = self.fair_shares.routes.entry(name).or_default();
-        let within = demand.take(now, job.work_us(), congested);
+        let within = demand.try_take(now, job.work_us(), congested);
         congested && !within
     }
 }
--- a/src/ephemeral/dispatcher/gates.rs
+++ b/src/ephemeral/dispatcher/gates.rs
@@ -1,11 +1,11 @@
-//! Gates coming, going and silent, as the dispatcher sees them.
+//! Sessions with gates: connection, loss, silence and heartbeats.
 
 use std::sync::Arc;
 use std::time::Duration;
 
 use slog::info;
 
-use super::{DispatchAction, Dispatcher, Link};
+use super::{DispatchAction, Dispatcher, GateSession};
 use crate::code::{Effect, ResultCode};
 use crate::ephemeral::directory::GateChanges;
 use crate::ephemeral::job::{JobId, RunId};
@@ -16,16 +16,14 @@
 use crate::metrics::Metrics;
 use crate::time::{Moment, micros};
 
-/// Pause between two runs that try out a suspect worker.
+/// Interval between runs that probe a suspect worker.
 pub(super) const PROBE_PAUSE: Duration = Duration::from_secs(1);
 
-/// Time between two turns of the loop, which are 10 ms apart, after which this
-/// process may have left frames unread.
-const LONGEST_TURN: Duration = Duration::from_millis(30);
+/// Interval between two ticks after which frames may have been left unread.
+const MAX_TICK_INTERVAL: Duration = Duration::from_millis(30);
 
 impl Dispatcher {
-    /// A connection to the gate `name` is open: the message that begins the
-    /// session.
+    /// Begins a session with the gate `name` on a new connection.
     pub fn connected(&mut self, now: Moment, name: &Arc<str>, session: SessionId) {
         let open = self.open_runs(name);
         let gate = self.gates.entry(name.clone());
@@ -35,23 +33,25 @@
         gate.session = None;
         self.close_sessions(name);
         info!(self.log, "gate connected"; "gate" => &**name, "open_runs" => open.len());
-        let link = Link {
+        let gate_session = GateSession {
             gate: name.clone(),
             sent_us: now.mono_us,
         };
-        self.sessions.insert(session, link);
-        self.subset.note(name, true);
+        self.sessions.insert(session, gate_session);
+        self.subset.set_available(name, true);
         let message = ToGate::Hello {
-            entry: self.me.clone(),
+            entry: self.process_id.clone(),
             config: self.configs.version(),
             open,
         };
         self.actions.push(DispatchAction::Send { session, message });
     }
 
-    /// Closes all sessions with a gate, answered or not.
+    /// Closes all sessions with a gate.
     fn close_sessions(&mut self, name: &Arc<str>) {
-        let of_gate = self.sessions.extract_if(|_, link| link.gate == *name);
+        let of_gate = self
+            .sessions
+            .extract_if(|_, gate_session| gate_session.gate == *name);
         let closes = of_gate.map(|(session, _)| DispatchAction::Close(session));
         self.actions.extend(closes);
     }
@@ -60,7 +60,7 @@
         let sent_to = self.gates.get(name).map_or(0, |gate| gate.incarnation);
         let mut open = Vec::new();
         for job in self.jobs.values() {
-            let here = job.out().filter(|(gate, _)| *gate == name);
+            let here = job.placed_runs().filter(|(gate, _)| *gate == name);
             open.extend(here.map(|(_, run)| OpenRun {
                 run,
                 sent_to,
@@ -71,9 +71,9 @@
         open
     }
 
-    /// A session ended; the gate has until the silence limit to come back.
+    /// Handles the end of a session. The gate is kept until the silence limit.
     pub fn disconnected(&mut self, session: SessionId) {
-        let Some(Link { gate: name, .. }) = self.sessions.remove(&session) else {
+        let Some(GateSession { gate: name, .. }) = self.sessions.remove(&session) else {
             return;
         };
         info!(self.log, "gate disconnected"; "gate" => &*name);
@@ -84,44 +84,50 @@
         }
     }
 
-    /// Something arrived on a session in good time.
-    pub fn heard(&mut self, now: Moment, session: SessionId) {
-        let link = self.sessions.get(&session);
-        if let Some(gate) = link.and_then(|link| self.gates.get_mut(&link.gate)) {
-            gate.heard_us = now.mono_us;
+    /// Records that a frame arrived in time.
+    pub fn frame_received(&mut self, now: Moment, session: SessionId) {
+        let gate_session = self.sessions.get(&session);
+        if let Some(gate) =
+            gate_session.and_then(|gate_session| self.gates.get_mut(&gate_session.gate))
+        {
+            gate.last_frame_us = now.mono_us;
         }
     }
 
-    /// A message came from a gate.
-    pub fn message(&mut self, now: Moment, session: SessionId, message: ToEntry) {
-        let Some(name) = self.sessions.get(&session).map(|link| link.gate.clone()) else {
+    /// Handles a message from a gate.
+    pub fn handle_message(&mut self, now: Moment, session: SessionId, message: ToEntry) {
+        let Some(name) = self
+            .sessions
+            .get(&session)
+            .map(|gate_session| gate_session.gate.clone())
+        else {
             return;
         };
         match message {
-            ToEntry::Hello { gate, config } => self.hello(now, &name, session, &gate, config),
+            ToEntry::Hello { gate, config } => self.gate_hello(now, &name, session, &gate, config),
             ToEntry::Load(load) => {
-                self.subset.note(&name, !load.leaving);
+                self.subset.set_available(&name, !load.leaving);
                 if let Some(worker) = &load.worker {
-                    self.compare_worker(now, &name, &worker.id);
+                    self.check_lost_worker(now, &name, &worker.id);
                 }
                 if let Some(gate) = self.gates.get_mut(&name) {
-                    gate.observe(now, load);
+                    gate.update_load(now, load);
                 }
-                self.note_service(now);
+                self.update_open_gate_since(now);
                 self.dirty |= !self.backlog.is_empty() || !self.deferral.is_empty();
             }
-            ToEntry::Losses(losses) => self.learn_losses(now, &losses),
-            ToEntry::Began { run } => self.began(now, run),
-            ToEntry::Ended { run, end, run_us } => self.ended(now, &name, run, end, run_us),
-            ToEntry::ConfigVersion(version) => self.gate_knows_config(now, &name, version),
+            ToEntry::Losses(losses) => self.record_losses(now, &losses),
+            ToEntry::Began { run } => self.run_began(now, run),
+            ToEntry::Ended { run, end, run_us } => self.run_ended(now, &name, run, end, run_us),
+            ToEntry::ConfigVersion(version) => self.record_gate_config(now, &name, version),
             ToEntry::WantConfig { asker, wanted } => {
-                self.give_config_part(session, asker, wanted);
+                self.send_config_part(session, asker, wanted);
             }
-            ToEntry::ConfigPart(part) => self.config_part(now, session, &part),
+            ToEntry::ConfigPart(part) => self.receive_config_part(now, session, &part),
         }
     }
 
-    fn hello(
+    fn gate_hello(
         &mut self,
         now: Moment,
         name: &Arc<str>,
@@ -138,18 +144,18 @@
             info!(self.log, "gate is new"; "gate" => &**name, "incarnation" => gate.incarnation);
             view.incarnation = gate.incarnation;
         }
-        self.withdraw_claims(name, session, &claimed);
-        self.gate_knows_config(now, name, config);
-        // A configuration that came between the hello and its answer.
+        self.stop_stale_claims(name, session, &claimed);
+        self.record_gate_config(now, name, config);
+        // A configuration was applied between the hello and its answer.
         if self.configs.version() > config {
             let message = ToGate::ConfigVersion(self.configs.version());
             self.actions.push(DispatchAction::Send { session, message });
         }
     }
 
-    /// Stops what the hello claimed and nobody wants any more: between the hello
-    /// and its answer there was no session to send a stop on.
-    fn withdraw_claims(&mut self, name: &Arc<str>, session: SessionId, claimed: &[RunId]) {
+    /// Stops runs that the hello claimed and whose jobs ended before its answer; until then
+    /// there was no session to send a stop on.
+    fn stop_stale_claims(&mut self, name: &Arc<str>, session: SessionId, claimed: &[RunId]) {
         let open = self.open_runs(name);
         let unwanted = claimed
             .iter()
@@ -161,17 +167,17 @@
         self.actions.extend(stops);
     }
 
-    /// Keeps account of since when there has been a gate that takes work.
-    fn note_service(&mut self, now: Moment) {
+    /// Updates since when at least one gate has taken work.
+    fn update_open_gate_since(&mut self, now: Moment) {
         if self.open_gates() == 0 {
-            self.served_since_us = None;
+            self.open_gate_since_us = None;
         } else {
-            self.served_since_us.get_or_insert(now.mono_us);
+            self.open_gate_since_us.get_or_insert(now.mono_us);
         }
     }
 
-    /// Ends jobs with runs at gates that have been silent for too long: those
-    /// runs may go on for a while, so their outcome is unknown.
+    /// Drops gates that have been silent for too long. The outcome of jobs with runs there
+    /// is unknown, as those runs may continue.
     pub(super) fn drop_silent_gates(&mut self, now: Moment) {
         let limits = &self.limits;
         let silent: Vec<Arc<str>> = self
@@ -185,53 +191,49 @@
         }
     }
 
-    /// Asks for a second connection to gates that should have been heard by now.
-    ///
-    /// A dead connection then costs the jobs on it some delay, and no answer: the
-    /// session goes over to the new connection, runs go on, and starts that never
-    /// came are placed again. Where half of all connections die four times in half a
-    /// minute, 123 of 4,105 jobs were lost without it and none with it (one play each).
-    pub(super) fn doubt_quiet_gates(&mut self, now: Moment) {
-        self.note_turn(now);
-        let (limits, listening_us) = (&self.limits, self.listening_us);
+    /// Requests a second connection to each gate whose frames are overdue, so that jobs
+    /// there survive a dead connection.
+    pub(super) fn redial_quiet_gates(&mut self, now: Moment) {
+        self.record_tick(now);
+        let (limits, reading_since_us) = (&self.limits, self.reading_since_us);
         for (name, gate) in &mut self.gates {
             let before = gate.quiet;
-            gate.quiet = gate.is_overdue(now, limits, listening_us);
+            gate.quiet = gate.is_overdue(now, limits, reading_since_us);
             if !gate.quiet {
                 continue;
             }
             if !before {
                 info!(self.log, "gate is quiet"; "gate" => &**name,
-                    "silent_us" => now.mono_us.saturating_sub(gate.heard_us));
+                    "silent_us" => now.mono_us.saturating_sub(gate.last_frame_us));
             }
             self.actions.push(DispatchAction::Redial(name.clone()));
         }
     }
 
-    /// A process that stood still has not read what came meanwhile, and must not
-    /// take that for the silence of others.
-    fn note_turn(&mut self, now: Moment) {
-        if now.mono_us > self.turned_us + micros(LONGEST_TURN) {
-            self.listening_us = now.mono_us;
+    /// Restarts the reading period after a suspension: unread frames are no sign of a
+    /// silent gate.
+    fn record_tick(&mut self, now: Moment) {
+        if now.mono_us > self.last_tick_us + micros(MAX_TICK_INTERVAL) {
+            self.reading_since_us = now.mono_us;
         }
-        self.turned_us = now.mono_us;
+        self.last_tick_us = now.mono_us;
     }
 
     fn drop_gate(&mut self, now: Moment, name: &Arc<str>) {
         if let Some(worker) = self.gates.get(name).and_then(GateView::worker).cloned() {
-            self.leave_behind(now, name, &worker.id);
+            self.record_left_behind(now, name, &worker.id);
         }
         let Some(gate) = self.gates.remove(name) else {
             return;
         };
         info!(self.log, "gate given up"; "gate" => &**name,
-            "silent_us" => now.mono_us.saturating_sub(gate.heard_us));
-        self.note_service(now);
+            "silent_us" => now.mono_us.saturating_sub(gate.last_frame_us));
+        self.update_open_gate_since(now);
         self.close_sessions(name);
         let lost: Vec<JobId> = self
             .jobs
             .iter()
-            .filter(|(_, job)| job.out().any(|(gate, _)| gate == name))
+            .filter(|(_, job)| job.placed_runs().any(|(gate, _)| gate == name))
             .map(|(id, _)| *id)
             .collect();
         for id in lost {
@@ -244,17 +246,17 @@
         }
     }
 
-    /// Records of gates have changed.
-    pub fn know_gates(&mut self, now: Moment, changes: &GateChanges) {
-        self.subset.know(now, changes);
+    /// Handles changes of the gates' records in the store.
+    pub fn update_gates(&mut self, now: Moment, changes: &GateChanges) {
+        self.subset.update(now, changes);
         for record in &changes.written {
-            self.learn_losses(now, &record.losses);
+            self.record_losses(now, &record.losses);
         }
     }
 
-    /// Adds what is known of gates to the figures.
-    pub fn show_gates(&self, metrics: &Metrics) {
-        let (known, wanted) = self.subset.sizes();
+    /// Adds gate and job counts to the metrics.
+    pub fn record_gate_metrics(&self, metrics: &Metrics) {
+        let (known, wanted) = self.subset.counts();
         let answered = self.gates.values().filter(|gate| gate.session.is_some());
         metrics.gauge("gates_known", known as u64);
         metrics.gauge("gates_wanted", wanted as u64);
@@ -264,52 +266,53 @@
         metrics.gauge("jobs_deferred", self.deferral.len() as u64);
     }
 
-    /// A gate could not be reached.
-    pub fn unreachable(&mut self, gate: &Arc<str>) {
-        self.subset.note(gate, false);
+    /// Records that a gate could not be reached.
+    pub fn gate_unreachable(&mut self, gate: &Arc<str>) {
+        self.subset.set_available(gate, false);
     }
 
-    /// Whether a session with this gate is wanted: for new work, or because it has some.
-    pub fn wants(&self, gate: &str) -> bool {
+    /// Whether a session with this gate is needed, for new work or for open runs.
+    pub fn wants_session(&self, gate: &str) -> bool {
         let has_work = |view: &GateView| view.has_runs();
-        self.subset.wants(gate) || self.gates.get(gate).is_some_and(has_work)
+        self.subset.is_wanted(gate) || self.gates.get(gate).is_some_and(has_work)
     }
 
-    /// Closes sessions that are not wanted any more, once their work is over for good.
-    pub(super) fn part_from_surplus(&mut self, now: Moment) {
+    /// Closes sessions outside the subset once they have had no work for the linger time.
+    pub(super) fn close_surplus_sessions(&mut self, now: Moment) {
         self.subset.choose(now);
         let (linger, subset) = (self.limits.linger, &self.subset);
         let surplus = self.gates.extract_if(.., |name, gate| {
-            let unwanted = subset.knows(name) && !subset.wants(name);
+            let unwanted = subset.is_known(name) && !subset.is_wanted(name);
             unwanted && gate.session.is_some() && !gate.is_busy(now, linger)
         });
         let sessions: Vec<SessionId> = surplus.filter_map(|(_, gate)| gate.session).collect();
         for session in sessions {
             self.sessions.remove(&session);
-            self.actions.push(DispatchAction::Part(session));
+            self.actions.push(DispatchAction::CloseSurplus(session));
         }
     }
 
-    /// Adds a heartbeat for each session on which nothing was sent for its pause.
+    /// Adds a heartbeat for each session on which nothing was sent for the heartbeat
+    /// interval.
     pub(super) fn add_heartbeats(&mut self, now: Moment) {
         for action in &self.actions {
             if let DispatchAction::Send { session, .. } = action
-                && let Some(link) = self.sessions.get_mut(session)
+                && let Some(gate_session) = self.sessions.get_mut(session)
             {
-                link.sent_us = now.mono_us;
+                gate_session.sent_us = now.mono_us;
             }
         }
-        for (session, link) in &mut self.sessions {
-            let gate = self.gates.get(&link.gate);
+        for (session, gate_session) in &mut self.sessions {
+            let gate = self.gates.get(&gate_session.gate);
             let busy = gate.is_some_and(|gate| gate.is_busy(now, self.limits.linger));
             let pause = match busy {
                 true => self.limits.beat,
                 false => self.limits.idle_beat,
             };
-            if now.mono_us < link.sent_us + micros(pause) {
+            if now.mono_us < gate_session.sent_us + micros(pause) {
                 continue;
             }
-            link.sent_us = now.mono_us;
+            gate_session.sent_us = now.mono_us;
             self.actions.push(DispatchAction::Send {
                 session: *session,
                 message: ToGate::Beat,
@@ -321,9 +324,9 @@
         let Some(gate) = self.gates.get_mut(name) else {
             return;
         };
-        gate.over(now, run);
+        gate.remove_run(now, run);
         if end == RunEnd::NotRun(NotRunReason::NoRoom) {
-            gate.had_no_room(self.typical_run.us());
+            gate.mark_full(self.typical_run.us());
         }
     }
 }
--- a/src/ephemeral/dispatcher/job.rs
+++ b/src/ephemeral/dispatcher/job.rs
@@ -1,4 +1,4 @@
-//! A job in the memory of its entry.
+//! State of an open job and its tasks.
 
 use std::sync::Arc;
 
@@ -9,19 +9,18 @@
 use crate::ephemeral::scheduling::Scheduling;
 use crate::ephemeral::subset::JobKind;
 
-/// Share of the expected run time kept back when a start's patience is set;
-/// run times vary about their mean.
-const RUN_MARGIN: f64 = 1.1;
-/// Time for orders and answers on the way, in microseconds.
-const OVERHEAD_US: u64 = 10_000;
+/// Factor on the expected run time when the latest begin is computed, as run times vary.
+const RUN_TIME_MARGIN: f64 = 1.1;
+/// Time for orders and answers to be transmitted, in microseconds.
+const MESSAGE_OVERHEAD_US: u64 = 10_000;
 
-/// How far a task is.
+/// State of a task.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) enum TaskState {
-    /// At no gate.
+    /// Not at a gate.
     Waiting,
-    /// At a gate.
-    At {
+    /// Sent to a gate.
+    Placed {
         /// Name of the gate.
         gate: Arc<str>,
         /// Number of the run.
@@ -34,45 +33,45 @@
 #[derive(Debug)]
 pub(super) struct Task {
     pub state: TaskState,
-    /// Number of its last run.
+    /// Number of the last run.
     pub runs: u32,
-    /// Runs that ended as failures.
+    /// Number of failed runs.
     pub failures: u32,
-    /// Gates that had less room than their loads said.
-    pub bounces: u32,
-    /// Times it was moved because it did not get on.
+    /// Starts that gates rejected for lack of room.
+    pub capacity_rejections: u32,
+    /// Times it was moved for being slow.
     pub moves: u32,
-    /// Gates where it did not end well.
-    pub avoid: Vec<Arc<str>>,
+    /// Gates where a run did not succeed.
+    pub avoided_gates: Vec<Arc<str>>,
 }
 
 #[derive(Debug)]
 pub(super) struct Job {
     pub spec: JobSpec,
     pub route: Arc<Route>,
-    /// By which its entry chooses gates.
+    /// Kinds by which the entry chooses gates.
     pub kinds: Vec<JobKind>,
     pub waiters: Vec<WaiterId>,
     pub arrived_us: u64,
-    /// Run time of its longest task that is expected, in microseconds.
+    /// Expected run time of the longest task, in microseconds.
     pub expected_us: u64,
-    /// How run times of its kind spread, where placement goes by that.
+    /// Spread of the route's run times, if placement uses it.
     pub spread: Option<Arc<RunSpread>>,
-    /// When its caller stops waiting.
+    /// When the caller stops waiting.
     pub deadline_us: u64,
-    /// Whether its caller seems to have sent it before, so that its objective is past.
-    pub sent_before: bool,
-    /// Whether its kind asks for more than usual while room is short.
+    /// Whether the caller seems to have sent it before, so that its objective is past.
+    pub is_resend: bool,
+    /// Whether its route exceeds its usual demand while room is short.
     pub surplus: bool,
     pub tasks: Vec<Task>,
     /// Whether a worker may have begun one of its tasks.
     pub may_have_run: bool,
-    /// Until when it waits for any gate, if none took work when it came.
+    /// Until when it waits for any gate, if none took work when it arrived.
     pub parked_until_us: Option<u64>,
-    /// Until when it is held for spare room, if it is deferred and nothing of it has begun.
+    /// Until when it is held for spare room, if it is deferred and has not begun.
     pub deferred_until_us: Option<u64>,
     /// Why it is being withdrawn; it is answered once its runs are over.
-    pub withdrawn: Option<&'static str>,
+    pub withdrawal_reason: Option<&'static str>,
 }
 
 impl Job {
@@ -88,14 +87,14 @@
             state: TaskState::Waiting,
             runs: first_run,
             failures: 0,
-            bounces: 0,
+            capacity_rejections: 0,
             moves: 0,
-            avoid: Vec::new(),
+            avoided_gates: Vec::new(),
         };
         Job {
             tasks: (0..spec.count).map(|_| task()).collect(),
             deadline_us: arrived_us + wait_us,
-            sent_before: false,
+            is_resend: false,
             surplus: false,
             kinds: JobKind::of(&route.service, &spec),
             spec,
@@ -107,7 +106,7 @@
             may_have_run: false,
             parked_until_us: None,
             deferred_until_us: None,
-            withdrawn: None,
+            withdrawal_reason: None,
         }
     }
 
@@ -116,41 +115,41 @@
         (self.expected_us as f64 * self.route.stretch) as u64 + self.route.slack_us
     }
 
-    /// Time left to end a task so that the answer meets the objective.
+    /// Time left to end a task within the objective.
     pub fn objective_left_us(&self, now_us: u64) -> u64 {
         let until_us = self.arrived_us + self.objective_us();
-        until_us.saturating_sub(now_us + OVERHEAD_US)
+        until_us.saturating_sub(now_us + MESSAGE_OVERHEAD_US)
     }
 
-    /// Time left of the objective beyond what its longest task adds, in microseconds; below 0
-    /// if part of that is spent.
+    /// Time left of the objective's fixed part, in microseconds; negative if it is
+    /// exceeded.
     pub fn slack_left_us(&self, now_us: u64) -> f64 {
-        let spent_us = now_us.saturating_sub(self.arrived_us) + OVERHEAD_US;
+        let spent_us = now_us.saturating_sub(self.arrived_us) + MESSAGE_OVERHEAD_US;
         self.route.slack_us as f64 - spent_us as f64
     }
 
-    /// Latest time to begin a task so that the objective is met.
+    /// Latest begin of a task that meets the objective.
     pub fn latest_begin_us(&self) -> u64 {
-        let run_us = (self.expected_us as f64 * RUN_MARGIN) as u64 + OVERHEAD_US;
+        let run_us = (self.expected_us as f64 * RUN_TIME_MARGIN) as u64 + MESSAGE_OVERHEAD_US;
         self.arrived_us + self.objective_us().saturating_sub(run_us)
     }
 
-    /// Latest time to begin a task so that it may end before the deadline.
-    pub fn last_begin_us(&self) -> u64 {
+    /// Latest begin of a task that ends before the deadline.
+    pub fn latest_begin_for_deadline_us(&self) -> u64 {
         self.deadline_us
-            .saturating_sub(self.expected_us + OVERHEAD_US)
+            .saturating_sub(self.expected_us + MESSAGE_OVERHEAD_US)
     }
 
     /// How long a start may wait for room at a gate from `now_us` on.
     pub fn patience_us(&self, now_us: u64) -> u64 {
         let until_us = match self.may_have_run || self.is_deferred() {
-            true => self.last_begin_us(),
+            true => self.latest_begin_for_deadline_us(),
             false => self.latest_begin_us(),
         };
         until_us.saturating_sub(now_us)
     }
 
-    /// Who is served first, among its tasks and those of others.
+    /// Priority of its tasks.
     pub fn priority(&self, scheduling: &Scheduling, now_us: u64) -> Priority {
         match self.is_deferred() && (self.surplus || self.misses_objective(now_us)) {
             true => Priority::SPARE_ROOM,
@@ -163,30 +162,30 @@
         self.latest_begin_us() <= now_us
     }
 
-    /// Whether it is held for room that is free.
+    /// Whether it is held for spare room.
     pub fn is_deferred(&self) -> bool {
         self.deferred_until_us.is_some()
     }
 
-    /// Processor time that its tasks are expected to take, in core-microseconds.
+    /// Expected processor time of its tasks, in core-microseconds.
     pub fn work_us(&self) -> f64 {
         let cores = self.spec.needs.cpu_milli as f64 / 1e3;
         f64::from(self.spec.count) * cores * self.expected_us as f64
     }
 
-    /// Tasks that are at no gate.
-    pub fn waiting(&self) -> impl Iterator<Item = u32> {
+    /// Tasks that are not at a gate.
+    pub fn waiting_tasks(&self) -> impl Iterator<Item = u32> {
         let waiting = |(_, task): &(usize, &Task)| task.state == TaskState::Waiting;
         let tasks = self.tasks.iter().enumerate();
         tasks.filter(waiting).map(|(index, _)| index as u32)
     }
 
-    /// Runs that are at gates, and where.
-    pub fn out(&self) -> impl Iterator<Item = (&Arc<str>, RunId)> {
+    /// Runs at gates, with the names of the gates.
+    pub fn placed_runs(&self) -> impl Iterator<Item = (&Arc<str>, RunId)> {
         let job = self.spec.id;
         let tasks = self.tasks.iter().enumerate();
         tasks.filter_map(move |(index, task)| match &task.state {
-            TaskState::At { gate, run } => {
+            TaskState::Placed { gate, run } => {
                 let index = index as u32;
                 let run = *run;
                 Some((gate, RunId { job, index, run }))
@@ -195,19 +194,22 @@
         })
     }
 
-    /// Whether nothing of it has run, runs or may still begin.
+    /// Whether none of it has run, is running or may still begin.
     pub fn is_untouched(&self) -> bool {
-        !self.may_have_run && self.out().next().is_none()
+        !self.may_have_run && self.placed_runs().next().is_none()
     }
 
     pub fn all_done(&self) -> bool {
         self.tasks.iter().all(|task| task.state == TaskState::Done)
     }
 
-    /// The task that `run` belongs to, if that is the run that is out, at `gate`.
-    pub fn task_of(&mut self, gate: &str, id: RunId) -> Option<&mut Task> {
+    /// Task of the run `id`, if that is its current run and is at `gate`.
+    pub fn task_of_run(&mut self, gate: &str, id: RunId) -> Option<&mut Task> {
         let task = self.tasks.get_mut(id.index as usize)?;
-        let out = matches!(&task.state, TaskState::At { gate: at, run } if **at == *gate && *run == id.run);
-        out.then_some(task)
+        let is_current = matches!(
+            &task.state,
+            TaskState::Placed { gate: at, run } if **at == *gate && *run == id.run
+        );
+        is_current.then_some(task)
     }
 }
--- a/src/ephemeral/dispatcher/losses.rs
+++ b/src/ephemeral/dispatcher/losses.rs
@@ -1,8 +1,7 @@
-//! Jobs with a task under which workers are lost, one after the other.
+//! Worker losses: gives up jobs with a task under which several workers were lost.
 //!
-//! A gate tells which tasks its worker was lost under. One that dies at the same time
-//! cannot: then the entry that had sent them finds the worker of the next gate there to
-//! be another one, and tells in its place.
+//! A gate reports the tasks that its worker was lost under. If the gate is lost as well,
+//! the entry that sent the tasks reports them once the next gate there has another worker.
 
 use std::collections::HashSet;
 use std::sync::Arc;
@@ -20,9 +19,9 @@
 use crate::time::Moment;
 
 impl Dispatcher {
-    /// Workers were lost under these tasks, which may be anybody's. Gives up the jobs
-    /// here that have such a task, also if it is on its way to the next worker.
-    pub(super) fn learn_losses(&mut self, now: Moment, losses: &[WorkerLoss]) {
+    /// Records losses, which may be of other entries' jobs. Gives up open jobs with such a
+    /// task, even if it is on its way to another worker.
+    pub(super) fn record_losses(&mut self, now: Moment, losses: &[WorkerLoss]) {
         for loss in losses {
             if !self.losses.note(now, loss) {
                 continue;
@@ -39,32 +38,33 @@
         }
     }
 
-    /// A gate is gone with runs on its worker.
-    pub(super) fn leave_behind(&mut self, now: Moment, name: &Arc<str>, worker: &WorkerId) {
-        let here = self.open_runs(name);
-        if here.is_empty() {
+    /// Remembers the open runs of a lost gate.
+    pub(super) fn record_left_behind(&mut self, now: Moment, name: &Arc<str>, worker: &WorkerId) {
+        let open_runs = self.open_runs(name);
+        if open_runs.is_empty() {
             return;
         }
-        let losses = here.iter().map(|open| WorkerLoss {
+        let losses = open_runs.iter().map(|open| WorkerLoss {
             job: open.run.job,
             index: open.run.index,
             worker: worker.clone(),
             likely: false,
             ran: false,
         });
-        let left = LeftBehind {
+        let left_behind = LeftBehind {
             at_us: now.mono_us,
             losses: losses.collect(),
         };
-        self.left_behind.insert(name.clone(), left);
+        self.left_behind.insert(name.clone(), left_behind);
     }
 
-    /// A gate tells its worker: if it is another one than before, the one before is lost.
-    pub(super) fn compare_worker(&mut self, now: Moment, name: &Arc<str>, worker: &WorkerId) {
-        let Some(left) = self.left_behind.remove(name) else {
+    /// Compares a gate's worker with the one before the gate was lost. If it is another
+    /// one, the earlier worker and its runs are lost.
+    pub(super) fn check_lost_worker(&mut self, now: Moment, name: &Arc<str>, worker: &WorkerId) {
+        let Some(left_behind) = self.left_behind.remove(name) else {
             return;
         };
-        let lost = left
+        let lost = left_behind
             .losses
             .into_iter()
             .filter(|loss| loss.worker != *worker);
@@ -74,37 +74,36 @@
         }
         info!(self.log, "worker lost with its gate"; "gate" => &**name, "worker" => %worker,
             "tasks" => losses.len());
-        self.learn_losses(now, &losses);
+        self.record_losses(now, &losses);
         if let Some(session) = self.gates.get(name).and_then(|gate| gate.session) {
             let message = ToGate::Losses(losses);
             self.actions.push(DispatchAction::Send { session, message });
         }
     }
 
-    /// Forgets gates that did not come back.
+    /// Forgets gates that did not return.
     pub(super) fn forget_left_behind(&mut self, now: Moment) {
-        self.left_behind.retain(|_, left| !left.is_old(now));
+        self.left_behind
+            .retain(|_, left_behind| !left_behind.is_old(now));
     }
 
-    /// Gates with tasks of this entry under which a worker was lost, if that is so of the
-    /// task `index` of `job` as well.
+    /// Gates that have a task of this entry under which a worker was lost; empty unless
+    /// that is so of task `index` of `job` too.
     ///
-    /// All tasks of a lost worker are placed anew at the same moment. If they went to the
-    /// same next one, the one that crashes workers would take the others along again,
-    /// until they seem to be to blame as well.
+    /// Tasks of a lost worker are placed again at the same time. On one worker, the task
+    /// that crashes workers would implicate the others again.
     pub(super) fn gates_with_implicated(&self, job: &Job, index: u32) -> HashSet<Arc<str>> {
         let implicated = |job: JobId, index: u32| self.losses.count(job, index) > 0;
         if !implicated(job.spec.id, index) {
             return HashSet::new();
         }
         let open = self.jobs.values().chain(std::iter::once(job));
-        let out = open.flat_map(Job::out);
-        let there = out.filter(|(_, run)| implicated(run.job, run.index));
+        let placed = open.flat_map(Job::placed_runs);
+        let there = placed.filter(|(_, run)| implicated(run.job, run.index));
         there.map(|(gate, _)| gate.clone()).collect()
     }
 
-    /// The answer for a job that is to be given up, if it is. Whoever had it before, its
-    /// task may have begun.
+    /// Answer for a job that is given up because of worker losses.
     pub(super) fn answer_for_losses(&self, job: JobId) -> Option<Answer> {
         let given_up = self.losses.given_up(job)?;
         let index = given_up.index;
--- a/src/ephemeral/dispatcher/mod.rs
+++ b/src/ephemeral/dispatcher/mod.rs
@@ -1,11 +1,11 @@
-//! The entry's decisions about the jobs that it took.
+//! Dispatcher of an entry: admits jobs, places their tasks on gates and answers their
+//! callers.
 //!
-//! A job is admitted if its tasks are expected to begin in time for its
-//! objective, and refused at once otherwise. Its tasks go to gates; what fails
-//! or does not begin there goes to another gate while that still helps. A job
-//! is answered when all its tasks are done, or when it is given up: with a
-//! refusal if nothing of it can have run, with a failure or an unknown outcome
-//! otherwise. Whatever of it is still out is stopped then.
+//! A job is admitted if its tasks are expected to begin in time for its latency objective,
+//! and refused at once otherwise. A task that fails or does not begin is sent to another
+//! gate while time is left. A job is answered once all its tasks are done or once it is
+//! given up, and its remaining runs are stopped. A job that is given up is refused if none
+//! of it can have run; otherwise it fails or its outcome is unknown.
 
 mod admission;
 mod caller_waits;
@@ -33,7 +33,7 @@
 use crate::ephemeral::limits::Limits;
 use crate::ephemeral::losses::{LeftBehind, LossLog};
 use crate::ephemeral::message::{ConfigDocument, ProcessId, StartOrder, ToGate};
-use crate::ephemeral::placement::{Choice, GateView, OnTime, Placer, Want};
+use crate::ephemeral::placement::{Choice, GateView, ObjectiveModel, PlacementRequest, Placer};
 use crate::ephemeral::run_spread::RunSpreads;
 use crate::ephemeral::scheduling::Scheduling;
 use crate::ephemeral::session::SessionId;
@@ -50,92 +50,90 @@
 use lag::Lag;
 use typical_run::TypicalRun;
 
-/// How long answers are kept for callers that ask again.
-const KEEP_ANSWERS: Duration = Duration::from_secs(10);
-/// When a refused caller should come back: about the time in which a full
-/// worker frees its room.
-const COME_BACK_MS: u64 = 500;
-/// Gates with less room than they said that a task is turned away from before
-/// it waits at one.
-const MOST_BOUNCES: u32 = 3;
-/// Times that a task is moved for being slow; estimates may be far off, and a long
-/// task must end somewhere.
-const MOST_MOVES: u32 = 1;
-/// Times the expected wait for room after which a task looks for another gate. With 3.0 a
-/// fiftieth more work is done in time beyond the room, and 1% of the jobs end as unknown.
-const WAIT_MARGIN: f64 = 1.5;
-/// Shortest wait at a gate, in microseconds; several round trips.
-const LEAST_WAIT_US: u64 = 10_000;
-/// Least step of the run number after a worker rejected it as too low.
-const RUN_STEP: u32 = 16;
-
-/// Names one caller that waits for an answer.
+/// How long the answers of finished jobs are kept for callers that submit again.
+const ANSWER_RETENTION: Duration = Duration::from_secs(10);
+/// Base delay after which a refused caller should retry; a full worker usually has room by
+/// then.
+const RETRY_AFTER_MS: u64 = 500;
+/// Starts of a task that may be rejected for lack of room before the task waits at a gate.
+const MAX_CAPACITY_REJECTIONS: u32 = 3;
+/// Times that a slow task is stopped and moved to another gate.
+const MAX_MOVES: u32 = 1;
+/// How long a task waits at a gate, as a multiple of the expected wait.
+const WAIT_LIMIT_FACTOR: f64 = 1.5;
+/// Wait at a gate that is allowed beyond the expected wait, in microseconds; several round
+/// trips.
+const MIN_WAIT_LIMIT_US: u64 = 10_000;
+/// Minimum increase of the run number after a worker rejected it as too low.
+const MIN_RUN_NUMBER_STEP: u32 = 16;
+
+/// Identifies a caller that waits for an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct WaiterId(pub u64);
 
-/// What a dispatcher asks of the process around it.
+/// Action that the dispatcher asks its process to carry out.
 #[derive(Clone, Debug)]
 pub enum DispatchAction {
-    /// Send a message to a gate.
+    /// Sends a message to a gate.
     Send {
-        /// The session.
+        /// Session to send on.
         session: SessionId,
-        /// What.
+        /// Message to send.
         message: ToGate,
     },
-    /// Close a session.
+    /// Closes a session.
     Close(SessionId),
-    /// Close a session that is not needed any more.
-    Part(SessionId),
-    /// Open another connection to this gate: the present one may be dead.
+    /// Closes a session that is no longer needed.
+    CloseSurplus(SessionId),
+    /// Opens another connection to a gate, as the present one may be dead.
     Redial(Arc<str>),
-    /// Answer a caller.
+    /// Answers a caller.
     Reply {
-        /// The caller.
+        /// Caller to answer.
         waiter: WaiterId,
-        /// Its answer.
+        /// Answer to the caller.
         answer: Answer,
     },
-    /// A newer configuration came from another entry.
-    Learned(ConfigDocument),
+    /// A newer configuration was received from another entry.
+    ConfigReceived(ConfigDocument),
 }
 
-/// A session from its hello on.
+/// Session with a gate, from the hello on.
 #[derive(Debug)]
-struct Link {
+struct GateSession {
     gate: Arc<str>,
-    /// When something was last sent on it.
+    /// When a message was last sent, in monotonic microseconds.
     sent_us: u64,
 }
 
 #[derive(Debug)]
-struct Past {
+struct FinishedJob {
     answer: Option<Answer>,
     next_run: u32,
 }
 
-/// The jobs of one entry.
+/// Open jobs of an entry, and the gates that it sends their tasks to.
 #[derive(Debug)]
 pub struct Dispatcher {
-    me: ProcessId,
+    process_id: ProcessId,
     limits: Limits,
     log: Logger,
     gates: BTreeMap<Arc<str>, GateView>,
-    /// Since when there has been a gate that takes work, if there is one.
-    served_since_us: Option<u64>,
-    sessions: HashMap<SessionId, Link>,
+    /// Since when at least one gate has taken work.
+    open_gate_since_us: Option<u64>,
+    sessions: HashMap<SessionId, GateSession>,
     subset: Subset,
-    /// When time last passed here.
-    turned_us: u64,
-    /// Since when this process reads without a break.
-    listening_us: u64,
+    /// Time of the last tick.
+    last_tick_us: u64,
+    /// Since when frames have been read without interruption.
+    reading_since_us: u64,
     jobs: HashMap<JobId, Job>,
     backlog: BTreeSet<(u64, JobId)>,
     deadlines: BTreeSet<(u64, JobId)>,
-    past: HashMap<JobId, Past>,
-    past_order: VecDeque<(u64, JobId)>,
+    finished: HashMap<JobId, FinishedJob>,
+    finished_order: VecDeque<(u64, JobId)>,
     losses: LossLog,
-    /// By the names of gates that are gone.
+    /// By the name of the lost gate.
     left_behind: HashMap<Arc<str>, LeftBehind>,
     probes: HashMap<Arc<str>, u64>,
     congestion: CongestionByPriority,
@@ -155,25 +153,26 @@
 }
 
 impl Dispatcher {
-    /// A dispatcher without gates; placement noise comes from `me`'s incarnation.
-    pub fn new(me: ProcessId, limits: Limits, log: Logger) -> Dispatcher {
+    /// Creates a dispatcher without gates; the incarnation in `process_id` seeds the
+    /// placement noise.
+    pub fn new(process_id: ProcessId, limits: Limits, log: Logger) -> Dispatcher {
         Dispatcher {
-            placer: Placer::new(me.incarnation),
-            rng: StdRng::seed_from_u64(me.incarnation),
-            subset: Subset::new(me.name.clone()),
-            me,
+            placer: Placer::new(process_id.incarnation),
+            rng: StdRng::seed_from_u64(process_id.incarnation),
+            subset: Subset::new(process_id.name.clone()),
+            process_id,
             limits,
             log,
             gates: BTreeMap::new(),
-            served_since_us: None,
+            open_gate_since_us: None,
             sessions: HashMap::new(),
-            turned_us: 0,
-            listening_us: 0,
+            last_tick_us: 0,
+            reading_since_us: 0,
             jobs: HashMap::new(),
             backlog: BTreeSet::new(),
             deadlines: BTreeSet::new(),
-            past: HashMap::new(),
-            past_order: VecDeque::new(),
+            finished: HashMap::new(),
+            finished_order: VecDeque::new(),
             losses: LossLog::default(),
             left_behind: HashMap::new(),
             probes: HashMap::new(),
@@ -192,12 +191,12 @@
         }
     }
 
-    /// The configuration in force asks for this.
-    pub fn schedule(&mut self, scheduling: Scheduling) {
+    /// Sets which scheduling features are on.
+    pub fn set_scheduling(&mut self, scheduling: Scheduling) {
         self.scheduling = scheduling;
     }
 
-    /// What is to be done since the last call.
+    /// Places waiting tasks and returns the actions since the last call.
     pub fn take_actions(&mut self, now: Moment) -> Vec<DispatchAction> {
         if self.dirty {
             self.dirty = false;
@@ -209,7 +208,7 @@
     }
 
     /// Whether no job is open.
-    pub fn idle(&self) -> bool {
+    pub fn is_idle(&self) -> bool {
         self.jobs.is_empty()
     }
 
@@ -223,38 +222,37 @@
         self.gates.values().filter(|gate| gate.is_open()).count()
     }
 
-    /// Sends the tasks of a job that are at no gate.
+    /// Sends the tasks of a job that are not at a gate.
     fn place(&mut self, now: Moment, id: JobId) {
         let Some(job) = self.jobs.get(&id) else {
             return;
         };
-        if job.parked_until_us.is_some() && !self.unpark(now, id) {
+        if job.parked_until_us.is_some() && !self.retry_parked(now, id) {
             return;
         }
         let Some(job) = self.jobs.get(&id).filter(|job| !job.is_deferred()) else {
             return;
         };
-        let waiting: Vec<u32> = job.waiting().collect();
-        let mut left = false;
+        let waiting: Vec<u32> = job.waiting_tasks().collect();
+        let mut any_unplaced = false;
         for index in waiting {
-            left |= !self.place_task(now, id, index);
+            any_unplaced |= !self.place_task(now, id, index);
         }
         if let Some(job) = self.jobs.get(&id) {
             let key = (job.latest_begin_us(), id);
-            match left {
+            match any_unplaced {
                 true => self.backlog.insert(key),
                 false => self.backlog.remove(&key),
             };
         }
     }
 
-    /// Sends one task to the gate where it would end first; `false` if no gate
-    /// would begin it in time.
+    /// Sends one task to the best gate; `false` if no gate can begin it in time.
     fn place_task(&mut self, now: Moment, id: JobId, index: u32) -> bool {
         let Some(job) = self.jobs.remove(&id) else {
             return true;
         };
-        let choice = self.choose(now, &job, index);
+        let choice = self.choose_gate(now, &job, index);
         self.jobs.insert(id, job);
         let Some(choice) = choice else {
             return false;
@@ -267,26 +265,28 @@
             return true;
         };
         let patience_us = job.patience_us(now.mono_us);
-        let most_us = match job.is_deferred() {
+        let max_wait_us = match job.is_deferred() {
             true => 0,
             false => patience_us,
         };
-        if choice.wait_us > most_us {
+        if choice.wait_us > max_wait_us {
             return false;
         }
         let task = &mut job.tasks[index as usize];
-        // Kept apart where it can be: a gate that turned it away once is tried again only
-        // if there is no other, and the two would go on and on.
-        let implicated = self.losses.count(id, index) > 0 && !task.avoid.contains(&choice.gate);
+        // Implicated tasks are kept apart. A gate that rejected the task before is chosen
+        // again only if there is no other; there the restriction is lifted, or the task
+        // would never start.
+        let implicated =
+            self.losses.count(id, index) > 0 && !task.avoided_gates.contains(&choice.gate);
         task.runs += 1;
-        let bounces = task.bounces;
-        let movable = task.moves < MOST_MOVES;
+        let capacity_rejections = task.capacity_rejections;
+        let movable = task.moves < MAX_MOVES;
         let run = RunId {
             job: id,
             index,
             run: task.runs,
         };
-        task.state = TaskState::At {
+        task.state = TaskState::Placed {
             gate: choice.gate.clone(),
             run: task.runs,
         };
@@ -300,7 +300,7 @@
             run,
             payload: job.spec.payload.clone(),
             needs: job.spec.needs,
-            patience_us: wait_at_gate_us(&choice, bounces).min(most_us),
+            patience_us: gate_wait_limit_us(&choice, capacity_rejections).min(max_wait_us),
             priority: job.priority(&self.scheduling, now.mono_us),
             leaves_headroom: self.scheduling.headroom,
             by_median: self.scheduling.worker_speeds,
@@ -308,57 +308,62 @@
             expected_us: job.expected_us,
             movable,
             implicated,
-            number: gate.count(now, run, job.spec.needs),
+            number: gate.record_start(now, run, job.spec.needs),
         };
         slog::debug!(self.log, "task sent"; "run" => %run, "gate" => &*choice.gate,
             "wait_us" => choice.wait_us, "run_us" => choice.run_us,
             "miss_percent" => choice.miss_percent,
-            "load_age_us" => now.mono_us.saturating_sub(gate.heard_us),
+            "load_age_us" => now.mono_us.saturating_sub(gate.last_frame_us),
             "patience_us" => patience_us);
         let message = ToGate::Start(Box::new(order));
         self.actions.push(DispatchAction::Send { session, message });
         true
     }
 
-    fn choose(&mut self, now: Moment, job: &Job, index: u32) -> Option<Choice> {
+    fn choose_gate(&mut self, now: Moment, job: &Job, index: u32) -> Option<Choice> {
         let task = job.tasks.get(index as usize)?;
-        let most = job.spec.constraints.most_on_worker as usize;
-        let crowded = |name: &Arc<str>| {
-            most > 0 && job.out().filter(|(gate, _)| *gate == name).count() >= most
+        let max_on_worker = job.spec.constraints.most_on_worker as usize;
+        let at_task_limit = |name: &Arc<str>| {
+            max_on_worker > 0
+                && job.placed_runs().filter(|(gate, _)| *gate == name).count() >= max_on_worker
         };
-        let suspects = self.gates.values().filter(|gate| gate.load.suspect).count();
-        // Where most workers fail, the tasks are to blame.
-        let judges = suspects * 2 <= self.gates.len();
+        let suspect_count = self.gates.values().filter(|gate| gate.load.suspect).count();
+        // If most workers fail, the cause is the tasks and not the workers.
+        let exclude_suspects = suspect_count * 2 <= self.gates.len();
         let probes = &self.probes;
-        let due = |name: &Arc<str>| probes.get(name).is_none_or(|at_us| *at_us <= now.mono_us);
+        let probe_due =
+            |name: &Arc<str>| probes.get(name).is_none_or(|at_us| *at_us <= now.mono_us);
         let allowed = |(name, gate): &(&Arc<str>, &GateView)| {
             gate.is_open()
                 && !gate.quiet
-                && (!gate.load.suspect || !judges || due(name))
-                && !crowded(name)
+                && (!gate.load.suspect || !exclude_suspects || probe_due(name))
+                && !at_task_limit(name)
         };
-        let want = self.want(now, job);
+        let request = self.placement_request(now, job);
         let implicated = self.gates_with_implicated(job, index);
-        let fresh = |(name, _): &(&Arc<str>, &GateView)| {
-            !task.avoid.contains(name) && !implicated.contains(*name)
+        let untried = |(name, _): &(&Arc<str>, &GateView)| {
+            !task.avoided_gates.contains(name) && !implicated.contains(*name)
         };
-        let others = self.gates.iter().filter(allowed).filter(fresh);
-        let choice = self.placer.choose(others, &want);
-        // Where every gate was tried, one that was tried is better than none.
-        choice.or_else(|| self.placer.choose(self.gates.iter().filter(allowed), &want))
+        let others = self.gates.iter().filter(allowed).filter(untried);
+        let choice = self.placer.choose(others, &request);
+        // If every gate has been tried, fall back to one that was tried.
+        choice.or_else(|| {
+            self.placer
+                .choose(self.gates.iter().filter(allowed), &request)
+        })
     }
 
-    fn want<'a>(&self, now: Moment, job: &'a Job) -> Want<'a> {
-        Want {
+    fn placement_request<'a>(&self, now: Moment, job: &'a Job) -> PlacementRequest<'a> {
+        PlacementRequest {
             service: &job.route.service,
             needs: &job.spec.needs,
             constraints: &job.spec.constraints,
             priority: job.priority(&self.scheduling, now.mono_us),
             expected_us: job.expected_us,
-            left_us: job.deadline_us.saturating_sub(now.mono_us),
-            objective_us: job.objective_left_us(now.mono_us),
-            typical_us: self.typical_run.us(),
-            on_time: job.spread.as_deref().map(|spread| OnTime {
+            deadline_left_us: job.deadline_us.saturating_sub(now.mono_us),
+            objective_left_us: job.objective_left_us(now.mono_us),
+            typical_run_us: self.typical_run.us(),
+            objective_model: job.spread.as_deref().map(|spread| ObjectiveModel {
                 spread,
                 tasks: job.spec.count,
                 stretch: job.route.stretch,
@@ -374,22 +379,22 @@
         }
     }
 
-    /// Time has passed: gives up what can no longer be helped.
+    /// Handles the passage of time: ends expired jobs and drops silent gates.
     pub fn tick(&mut self, now: Moment) {
-        self.end_overdue(now);
-        self.end_hopeless(now);
-        self.end_unserved(now);
+        self.end_expired(now);
+        self.give_up_late_jobs(now);
+        self.end_unserved_deferred(now);
         self.drop_silent_gates(now);
-        self.part_from_surplus(now);
-        self.doubt_quiet_gates(now);
+        self.close_surplus_sessions(now);
+        self.redial_quiet_gates(now);
         self.fetch_config(now);
-        self.forget_past(now);
+        self.evict_finished(now);
         self.losses.forget_old(now);
         self.forget_left_behind(now);
         self.dirty |= !self.backlog.is_empty() || !self.deferral.is_empty();
     }
 
-    fn end_overdue(&mut self, now: Moment) {
+    fn end_expired(&mut self, now: Moment) {
         while let Some((deadline_us, id)) = self.deadlines.first().copied() {
             if deadline_us > now.mono_us {
                 break;
@@ -400,19 +405,19 @@
                     Effect::Unknown,
                     "its deadline passed",
                 ),
-                false => self.overdue_answer(id),
+                false => self.expired_answer(id),
             };
             self.finish(now, id, answer);
             self.deadlines.remove(&(deadline_us, id));
         }
     }
 
-    /// Ends jobs whose waiting tasks cannot begin in time any more.
-    fn end_hopeless(&mut self, now: Moment) {
+    /// Gives up jobs with waiting tasks that can no longer begin in time.
+    fn give_up_late_jobs(&mut self, now: Moment) {
         let waiting: Vec<JobId> = self.backlog.iter().map(|(_, id)| *id).collect();
         for id in waiting {
             let late = self.jobs.get(&id).is_some_and(|job| {
-                job.patience_us(now.mono_us) == 0 && job.waiting().next().is_some()
+                job.patience_us(now.mono_us) == 0 && job.waiting_tasks().next().is_some()
             });
             if late {
                 self.give_up(now, id, "no room in time");
@@ -420,17 +425,17 @@
         }
     }
 
-    fn overdue_answer(&self, id: JobId) -> Answer {
+    fn expired_answer(&self, id: JobId) -> Answer {
         let job = self.jobs.get(&id);
         if job.is_none_or(|job| job.is_untouched()) {
-            return refused("its deadline passed before it began", COME_BACK_MS);
+            return refused("its deadline passed before it began", RETRY_AFTER_MS);
         }
         let why = "its deadline passed";
         Answer::failure(ResultCode::DeadlinePassed, Effect::Unknown, why)
     }
 
-    /// Ends a job that cannot be served in time. A refusal must be true, so
-    /// what is out is withdrawn first unless something has run already.
+    /// Ends a job that cannot be served in time. A refusal states that nothing has run, so
+    /// runs that may still begin are withdrawn first.
     fn give_up(&mut self, now: Moment, id: JobId, why: &'static str) {
         let Some(job) = self.jobs.get_mut(&id) else {
             return;
@@ -444,9 +449,9 @@
             self.defer_or_refuse(now, id, why);
             return;
         }
-        if job.withdrawn.replace(why).is_none() {
+        if job.withdrawal_reason.replace(why).is_none() {
             self.backlog.remove(&(job.latest_begin_us(), id));
-            self.deferral.release(now, id);
+            self.deferral.forget(now, id);
             self.stop_runs(id);
         }
     }
@@ -455,7 +460,7 @@
         let Some(job) = self.jobs.get(&id) else {
             return;
         };
-        for (gate, run) in job.out() {
+        for (gate, run) in job.placed_runs() {
             let session = self.gates.get(gate).and_then(|gate| gate.session);
             if let Some(session) = session {
                 let message = ToGate::Stop { run };
@@ -464,19 +469,19 @@
         }
     }
 
-    /// Answers a job, stops what is out, and forgets it.
+    /// Answers a job, stops its remaining runs and removes it.
     fn finish(&mut self, now: Moment, id: JobId, answer: Answer) {
         self.stop_runs(id);
         let Some(job) = self.jobs.remove(&id) else {
             return;
         };
-        for (gate, run) in job.out() {
+        for (gate, run) in job.placed_runs() {
             if let Some(gate) = self.gates.get_mut(gate) {
-                gate.over(now, run);
+                gate.remove_run(now, run);
             }
         }
         self.backlog.remove(&(job.latest_begin_us(), id));
-        self.deferral.release(now, id);
+        self.deferral.forget(now, id);
         self.deadlines.remove(&(job.deadline_us, id));
         self.log_end(now, &job, &answer);
         let runs = job.tasks.iter().map(|task| task.runs).max();
@@ -485,12 +490,12 @@
             self.actions.push(DispatchAction::Reply { waiter, answer });
         }
         let keep = matches!(answer.code, ResultCode::Complete | ResultCode::TaskFailed);
-        let past = Past {
+        let finished = FinishedJob {
             answer: keep.then_some(answer),
-            next_run: runs.unwrap_or(0) + RUN_STEP,
+            next_run: runs.unwrap_or(0) + MIN_RUN_NUMBER_STEP,
         };
-        self.past.insert(id, past);
-        self.past_order.push_back((now.mono_us, id));
+        self.finished.insert(id, finished);
+        self.finished_order.push_back((now.mono_us, id));
     }
 
     fn log_end(&self, now: Moment, job: &Job, answer: &Answer) {
@@ -498,36 +503,35 @@
             "code" => answer.code.name(), "effect" => ?answer.effect, "why" => &answer.message,
             "took_us" => now.mono_us.saturating_sub(job.arrived_us),
             "caller_waits_us" => job.deadline_us - job.arrived_us,
-            "sent_before" => job.sent_before, "deferred" => job.is_deferred(),
+            "sent_before" => job.is_resend, "deferred" => job.is_deferred(),
             "expected_us" => job.expected_us, "tasks" => job.spec.count,
             "runs" => job.tasks.iter().map(|task| task.runs).max(),
             "begin_within_us" => job.latest_begin_us().saturating_sub(job.arrived_us));
     }
 
-    fn forget_past(&mut self, now: Moment) {
-        let oldest_us = now.mono_us.saturating_sub(micros(KEEP_ANSWERS));
-        while let Some((at_us, id)) = self.past_order.front().copied() {
+    fn evict_finished(&mut self, now: Moment) {
+        let oldest_us = now.mono_us.saturating_sub(micros(ANSWER_RETENTION));
+        while let Some((at_us, id)) = self.finished_order.front().copied() {
             if at_us >= oldest_us {
                 break;
             }
-            self.past_order.pop_front();
-            self.past.remove(&id);
+            self.finished_order.pop_front();
+            self.finished.remove(&id);
         }
     }
 }
 
-/// How long a task may wait at a gate. Where room was expected, another gate is
-/// better than a wait; and where a wait turns out longer than expected, it is
-/// better to look again.
-fn wait_at_gate_us(choice: &Choice, bounces: u32) -> u64 {
-    match choice.wait_us == 0 && bounces < MOST_BOUNCES {
+/// How long a task may wait at a gate, in microseconds. Where room was expected, it does
+/// not wait but goes to another gate.
+fn gate_wait_limit_us(choice: &Choice, capacity_rejections: u32) -> u64 {
+    match choice.wait_us == 0 && capacity_rejections < MAX_CAPACITY_REJECTIONS {
         true => 0,
-        false => (choice.wait_us as f64 * WAIT_MARGIN) as u64 + LEAST_WAIT_US,
+        false => (choice.wait_us as f64 * WAIT_LIMIT_FACTOR) as u64 + MIN_WAIT_LIMIT_US,
     }
 }
 
-fn refused(why: &str, come_back_ms: u64) -> Answer {
-    Answer::not_run(ResultCode::Overloaded, why).retry_after(come_back_ms)
+fn refused(why: &str, retry_after_ms: u64) -> Answer {
+    Answer::not_run(ResultCode::Overloaded, why).retry_after(retry_after_ms)
 }
 
 fn failed(code: ResultCode, why: &str) -> Answer {
--- a/src/ephemeral/dispatcher/progress.rs
+++ b/src/ephemeral/dispatcher/progress.rs
@@ -1,4 +1,4 @@
-//! What gates report of runs, and callers that leave.
+//! Run reports of gates, and callers that disconnect.
 
 use std::sync::Arc;
 
@@ -13,18 +13,18 @@
 use crate::message::Answer;
 use crate::time::Moment;
 
-/// Highest number from which a run still leaps; beyond it numbers would run out.
-const MOST_RUNS: u32 = 1 << 30;
+/// Highest run number that a rejection leads to.
+const MAX_RUN_NUMBER: u32 = 1 << 30;
 
 impl Dispatcher {
-    pub(super) fn began(&mut self, now: Moment, run: RunId) {
-        self.deferral.began(now, run.job);
+    pub(super) fn run_began(&mut self, now: Moment, run: RunId) {
+        self.deferral.record_start(now, run.job);
         if let Some(job) = self.jobs.get_mut(&run.job) {
             job.may_have_run = true;
         }
     }
 
-    pub(super) fn ended(
+    pub(super) fn run_ended(
         &mut self,
         now: Moment,
         gate: &Arc<str>,
@@ -34,13 +34,13 @@
     ) {
         self.run_left_gate(now, gate, run, end);
         if !matches!(end, RunEnd::NotRun(_)) {
-            self.began(now, run);
+            self.run_began(now, run);
         }
         let Some(job) = self.jobs.get_mut(&run.job) else {
             return;
         };
         let (route, expected_us) = (job.route.clone(), job.expected_us);
-        let Some(task) = job.task_of(gate, run) else {
+        let Some(task) = job.task_of_run(gate, run) else {
             return;
         };
         task.state = TaskState::Waiting;
@@ -52,9 +52,9 @@
                 if self.scheduling.worker_speeds {
                     let slowness = self.gates.get(gate).map_or(1.0, GateView::slowness);
                     let expected_us = expected_us as f64 * slowness;
-                    self.run_spreads.learn(&route, run_us, expected_us);
+                    self.run_spreads.record(&route, run_us, expected_us);
                 }
-                self.typical_run.learn(run_us);
+                self.typical_run.record(run_us);
                 if done {
                     self.finish(now, run.job, Answer::complete(Vec::new()));
                 }
@@ -68,10 +68,10 @@
                     return;
                 }
             }
-            // Another entry has used higher numbers for this task.
+            // Another entry has used higher run numbers for this task.
             RunEnd::NotRun(NotRunReason::Rejected) => {
-                let step = task.runs.max(super::RUN_STEP);
-                task.runs = task.runs.saturating_add(step).min(MOST_RUNS);
+                let step = task.runs.max(super::MIN_RUN_NUMBER_STEP);
+                task.runs = task.runs.saturating_add(step).min(MAX_RUN_NUMBER);
             }
             RunEnd::NotRun(NotRunReason::AlreadyHere) => {
                 let why = "another run of a task is not over";
@@ -84,23 +84,23 @@
         }
         task.moves += u32::from(end == RunEnd::Stalled);
         match end {
-            RunEnd::NotRun(NotRunReason::NoRoom) => task.bounces += 1,
+            RunEnd::NotRun(NotRunReason::NoRoom) => task.capacity_rejections += 1,
             RunEnd::NotRun(NotRunReason::Rejected | NotRunReason::Lost) => {}
-            _ => task.avoid.push(gate.clone()),
+            _ => task.avoided_gates.push(gate.clone()),
         }
-        if let Some(why) = job.withdrawn {
-            if job.out().next().is_none() {
-                job.withdrawn = None;
+        if let Some(why) = job.withdrawal_reason {
+            if job.placed_runs().next().is_none() {
+                job.withdrawal_reason = None;
                 self.give_up(now, run.job, why);
             }
             return;
         }
         info!(self.log, "task goes elsewhere"; "run" => %run, "gate" => &**gate, "end" => ?end,
             "run_us" => run_us, "expected_us" => expected_us);
-        self.place_again(now, run.job);
+        self.retry_task(now, run.job);
     }
 
-    fn place_again(&mut self, now: Moment, id: JobId) {
+    fn retry_task(&mut self, now: Moment, id: JobId) {
         let late = self
             .jobs
             .get(&id)
@@ -109,12 +109,12 @@
             self.give_up(now, id, "no time is left to run it elsewhere");
             return;
         }
-        self.hold_again(now, id);
+        self.requeue_deferred(now, id);
         self.place(now, id);
     }
 
-    /// A caller is gone; what runs only for it is stopped.
-    pub fn waiter_gone(&mut self, now: Moment, waiter: WaiterId, id: JobId) {
+    /// Removes a waiting caller; a job without callers is stopped.
+    pub fn remove_waiter(&mut self, now: Moment, waiter: WaiterId, id: JobId) {
         let Some(job) = self.jobs.get_mut(&id) else {
             return;
         };
--- a/src/ephemeral/entry/mod.rs
+++ b/src/ephemeral/entry/mod.rs
@@ -192,7 +192,7 @@
         self.turned_us = now.mono_us;
         let late = gap.saturating_sub(TICK);
         self.latest_turn = self.latest_turn.max(late);
-        self.dispatcher.turned_late(now, late);
+        self.dispatcher.record_late_tick(now, late);
     }
 
     fn handle(&mut self, now: Moment, event: Event) {
@@ -200,20 +200,20 @@
             Event::Submit(submit) => self.submit(now, *submit),
             Event::WaiterGone(waiter, job) => {
                 self.replies.remove(&waiter);
-                self.dispatcher.waiter_gone(now, waiter, job);
+                self.dispatcher.remove_waiter(now, waiter, job);
             }
             Event::Session(SessionEvent::Frame { session, frame }) => {
                 let age_us = self.sessions.age_us(now, session, frame.sent_us);
-                self.dispatcher.frame_waited(now, age_us);
+                self.dispatcher.record_frame_wait(now, age_us);
                 if age_us > micros(self.parts.limits.frame_age) {
                     warn!(self.parts.log, "frame came late"; "session" => session.0,
                         "age_us" => age_us);
                     self.lose(session, SessionLoss::LateFrame);
                     return;
                 }
-                self.dispatcher.heard(now, session);
+                self.dispatcher.frame_received(now, session);
                 for message in frame.messages {
-                    self.dispatcher.message(now, session, message);
+                    self.dispatcher.handle_message(now, session, message);
                 }
             }
             Event::Session(SessionEvent::Closed(session)) => {
@@ -221,7 +221,7 @@
             }
             Event::Dialed(name, stream) => self.dialed(now, &name, stream),
             Event::Gates(changes) => {
-                self.dispatcher.know_gates(now, &changes);
+                self.dispatcher.update_gates(now, &changes);
                 self.dials.know(now, changes);
             }
             Event::Config(document) => self.learn(document, "store"),
@@ -252,7 +252,10 @@
 
     fn dial_missing(&mut self, now: Moment) {
         let dispatcher = &self.dispatcher;
-        for attempt in self.dials.attempts(now, |gate| dispatcher.wants(gate)) {
+        for attempt in self
+            .dials
+            .attempts(now, |gate| dispatcher.wants_session(gate))
+        {
             let (timer, tx) = (self.parts.timer.clone(), self.tx.clone());
             tokio::spawn(async move {
                 let stream = dial(&timer, attempt.addr, attempt.limit).await;
@@ -264,7 +267,7 @@
     fn dialed(&mut self, now: Moment, gate: &Arc<str>, stream: Option<TcpStream>) {
         let Some(stream) = stream else {
             self.dials.failed(gate);
-            self.dispatcher.unreachable(gate);
+            self.dispatcher.gate_unreachable(gate);
             return;
         };
         let sessions = &mut self.sessions;
@@ -288,9 +291,9 @@
                 self.parts
                     .metrics
                     .gauge("config_bytes", document.text.len() as u64);
-                self.dispatcher.schedule(table.scheduling);
+                self.dispatcher.set_scheduling(table.scheduling);
                 self.table.send_replace(Arc::new(table));
-                self.dispatcher.config_in_force(document);
+                self.dispatcher.apply_config(document);
             }
             Err(err) => {
                 warn!(self.parts.log, "configuration not usable"; "version" => document.version,
@@ -304,8 +307,8 @@
         if now.mono_us >= self.shown_us + micros(self.parts.limits.beat) {
             self.shown_us = now.mono_us;
             self.sessions.show_counts(&self.parts.metrics);
-            self.dispatcher.show_gates(&self.parts.metrics);
-            self.dispatcher.show_lag(now, &self.parts.metrics);
+            self.dispatcher.record_gate_metrics(&self.parts.metrics);
+            self.dispatcher.record_lag_metrics(now, &self.parts.metrics);
             let late_ms = std::mem::take(&mut self.latest_turn).as_millis() as u64;
             self.parts.metrics.time("turn_late_ms", late_ms);
         }
@@ -321,14 +324,14 @@
                     self.sessions.send(session, message);
                 }
                 DispatchAction::Close(session) => self.lose(session, SessionLoss::GivenUp),
-                DispatchAction::Part(session) => self.lose(session, SessionLoss::Surplus),
+                DispatchAction::CloseSurplus(session) => self.lose(session, SessionLoss::Surplus),
                 DispatchAction::Redial(gate) => self.dials.doubt(&gate),
                 DispatchAction::Reply { waiter, answer } => {
                     if let Some(reply) = self.replies.remove(&waiter) {
                         let _ = reply.send(answer);
                     }
                 }
-                DispatchAction::Learned(document) => self.learn(document, "entry"),
+                DispatchAction::ConfigReceived(document) => self.learn(document, "entry"),
             }
         }
         for session in self.sessions.flush() {
--- a/src/ephemeral/routes.rs
+++ b/src/ephemeral/routes.rs
@@ -1,36 +1,36 @@
-//! Routes: which jobs the configuration in force allows, and on what terms.
+//! Routes: the jobs that the configuration allows, and their terms.
 
 use std::sync::Arc;
 
 use crate::ephemeral::job::Priority;
 use crate::ephemeral::scheduling::Scheduling;
 
-/// Terms of one kind of job.
+/// Terms for one kind of job.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Route {
-    /// Its name.
+    /// Name of the route.
     pub name: Arc<str>,
     /// Host that callers address.
     pub host: String,
-    /// Beginning of the paths that belong to it.
+    /// Prefix of the paths that belong to the route.
     pub path_prefix: String,
-    /// Service whose workers run its tasks.
+    /// Service whose workers run the tasks.
     pub service: Arc<str>,
     /// Priority; 0 is the most urgent.
     pub priority: u8,
     /// Failed runs after which a task is given up.
     pub attempts: u32,
-    /// Longest time that a caller is kept waiting, in microseconds.
+    /// Longest time that a caller waits, in microseconds.
     pub timeout_us: u64,
-    /// Times the longest task that the answer may take within its objective.
+    /// Latency objective as a multiple of the longest task's run time.
     pub stretch: f64,
-    /// What the latency objective adds to that, in microseconds.
+    /// Fixed time added to the objective, in microseconds.
     pub slack_us: u64,
 }
 
 impl Route {
-    /// Who is served first: with priority classes each goes before the next; otherwise the
-    /// most urgent goes before all others, which share what is left by their objectives.
+    /// Effective priority. Without priority classes only the most urgent priority is told
+    /// apart from the others.
     pub fn priority(&self, scheduling: &Scheduling) -> Priority {
         match self.priority {
             0 => Priority::URGENT,
@@ -42,21 +42,21 @@
     }
 }
 
-/// What callers may send.
+/// Limits on what callers may send.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CallerLimits {
-    /// Bytes of a request's headers.
+    /// Size of a request's headers, in bytes.
     pub header_bytes: usize,
-    /// Bytes of a request's body.
+    /// Size of a request's body, in bytes.
     pub body_bytes: usize,
-    /// Longest time to send the headers, in milliseconds.
+    /// Time to send the headers, in milliseconds.
     pub header_ms: u64,
-    /// Longest time that a connection may be idle, in milliseconds.
+    /// Time that a connection may be idle, in milliseconds.
     pub idle_ms: u64,
 }
 
 impl Default for CallerLimits {
-    /// What holds until the first configuration comes.
+    /// Limits before the first configuration.
     fn default() -> CallerLimits {
         CallerLimits {
             header_bytes: 16 << 10,
@@ -67,21 +67,21 @@
     }
 }
 
-/// The configuration in force.
+/// Current configuration of an entry.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct RouteTable {
-    /// Its version; 0 before the first one came.
+    /// Version; 0 before the first configuration.
     pub version: u64,
     /// All routes.
     pub routes: Vec<Arc<Route>>,
-    /// What callers may send.
+    /// Limits on what callers may send.
     pub limits: CallerLimits,
-    /// How work is scheduled where room is short.
+    /// Scheduling features that are on.
     pub scheduling: Scheduling,
 }
 
 impl RouteTable {
-    /// The route with the longest prefix of `path` on `host`.
+    /// Returns the route on `host` with the longest prefix of `path`.
     pub fn find(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
         let host = host.split(':').next().unwrap_or(host);
         self.routes
--- a/src/ephemeral/run_spread.rs
+++ b/src/ephemeral/run_spread.rs
@@ -1,51 +1,50 @@
-//! How run times of one kind of jobs spread about what is expected of them.
+//! Spread of the run times of one route around their expected values.
 //!
-//! Kept as quantiles of recent ratios, on a worker of usual speed: long tails and
-//! several humps are met as they are. From them placement tells how likely a task
-//! is to make its job late at a gate.
+//! The spread is a set of quantiles of recent ratios of actual to expected run time.
+//! Placement uses it to compute the chance that a task makes its job late.
 
 use std::collections::{HashMap, VecDeque};
 use std::sync::Arc;
 
 use super::routes::Route;
 
-/// Runs that are looked back on.
-const RUNS: usize = 128;
-/// Quantiles that are kept: a tail of three in a hundred is the last one.
+/// Maximum number of recent runs kept.
+const MAX_RUNS: usize = 128;
+/// Number of quantiles kept.
 const QUANTILES: usize = 32;
-/// Runs after which quantiles are taken anew.
-const REFRESH: u32 = 16;
-/// Runs that are needed at least.
-const FEWEST_RUNS: usize = 32;
+/// Number of new runs after which the quantiles are updated.
+const REFRESH_RUNS: u32 = 16;
+/// Minimum number of runs for a spread.
+const MIN_RUNS: usize = 32;
 
-/// Quantiles of run times against expectation, in rising order.
+/// Quantiles of actual to expected run time, in ascending order.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RunSpread {
     quantiles: [f64; QUANTILES],
 }
 
-/// Where a task would run, and by when its job is to be answered.
+/// Planned run of a task, and the time to its job's objective.
 #[derive(Clone, Copy, Debug)]
-pub struct Placement {
-    /// Time until it would begin, in microseconds.
+pub struct PlannedRun {
+    /// Time until the run begins, in microseconds.
     pub begin_us: f64,
-    /// Run time there that is expected, in microseconds.
+    /// Expected run time, in microseconds.
     pub run_us: f64,
-    /// What a task's expected run time adds to the objective if it is the longest, in
-    /// microseconds.
+    /// Part of the objective that scales with the longest task, at the expected run time,
+    /// in microseconds.
     pub stretched_us: f64,
-    /// Time until the objective beyond that, in microseconds; below 0 if part of it is
-    /// spent.
+    /// Time left of the objective's fixed part, in microseconds; negative if it is
+    /// exceeded.
     pub slack_us: f64,
-    /// Other tasks of the job.
+    /// Number of other tasks of the job.
     pub others: u32,
 }
 
 impl RunSpread {
-    /// The spread of some ratios.
-    pub fn of(ratios: impl Iterator<Item = f64>) -> Option<RunSpread> {
+    /// Computes the spread of some ratios; `None` if there are too few.
+    pub fn from_ratios(ratios: impl Iterator<Item = f64>) -> Option<RunSpread> {
         let mut sorted: Vec<f64> = ratios.collect();
-        if sorted.len() < FEWEST_RUNS {
+        if sorted.len() < MIN_RUNS {
             return None;
         }
         sorted.sort_unstable_by(f64::total_cmp);
@@ -55,52 +54,52 @@
         })
     }
 
-    /// Part of the runs with a ratio below `ratio`.
-    fn part_below(&self, ratio: f64) -> f64 {
+    /// Share of runs with a ratio below `ratio`.
+    fn share_below(&self, ratio: f64) -> f64 {
         let below = self.quantiles.partition_point(|quantile| *quantile < ratio);
         below as f64 / QUANTILES as f64
     }
 
-    /// How likely the task ends after the objective of its job, which goes by the longest
-    /// task: a long one may end later, and so may any beside a long one.
-    pub fn miss_chance(&self, at: &Placement) -> f64 {
-        let spent_us = at.begin_us - at.slack_us;
-        if spent_us <= 0.0 && at.run_us <= at.stretched_us {
+    /// Chance that the task makes its job late. The objective scales with the longest task,
+    /// so a task beside a longer one may end later.
+    pub fn miss_chance(&self, planned: &PlannedRun) -> f64 {
+        let spent_us = planned.begin_us - planned.slack_us;
+        if spent_us <= 0.0 && planned.run_us <= planned.stretched_us {
             return 0.0;
         }
-        let chance = |ratio: &f64| {
-            let longest = (spent_us + at.run_us * ratio) / at.stretched_us;
+        let miss_chance_at = |ratio: &f64| {
+            let longest = (spent_us + planned.run_us * ratio) / planned.stretched_us;
             match *ratio < longest {
-                true => self.part_below(longest).powi(at.others as i32),
+                true => self.share_below(longest).powi(planned.others as i32),
                 false => 0.0,
             }
         };
-        self.quantiles.iter().map(chance).sum::<f64>() / QUANTILES as f64
+        self.quantiles.iter().map(miss_chance_at).sum::<f64>() / QUANTILES as f64
     }
 }
 
-/// Recent runs of one kind of jobs.
+/// Recent runs of one route.
 #[derive(Debug, Default)]
-struct Kind {
+struct RouteRuns {
     ratios: VecDeque<f64>,
     runs_us: VecDeque<u64>,
-    fresh: u32,
+    runs_since_refresh: u32,
     spread: Option<Arc<RunSpread>>,
     median_us: Option<u64>,
 }
 
-impl Kind {
-    fn learn(&mut self, run_us: u64, ratio: f64) {
-        if self.ratios.len() == RUNS {
+impl RouteRuns {
+    fn record(&mut self, run_us: u64, ratio: f64) {
+        if self.ratios.len() == MAX_RUNS {
             self.ratios.pop_front();
             self.runs_us.pop_front();
         }
         self.ratios.push_back(ratio);
         self.runs_us.push_back(run_us);
-        self.fresh += 1;
-        if self.fresh >= REFRESH {
-            self.fresh = 0;
-            self.spread = RunSpread::of(self.ratios.iter().copied()).map(Arc::new);
+        self.runs_since_refresh += 1;
+        if self.runs_since_refresh >= REFRESH_RUNS {
+            self.runs_since_refresh = 0;
+            self.spread = RunSpread::from_ratios(self.ratios.iter().copied()).map(Arc::new);
             let mut runs_us: Vec<u64> = self.runs_us.iter().copied().collect();
             let middle = runs_us.len() / 2;
             self.median_us = Some(*runs_us.select_nth_unstable(middle).1);
@@ -108,26 +107,26 @@
     }
 }
 
-/// Spreads of the kinds of jobs, by the names of their routes.
+/// Spreads by the names of the routes.
 #[derive(Debug, Default)]
 pub struct RunSpreads {
-    kinds: HashMap<Arc<str>, Kind>,
+    routes: HashMap<Arc<str>, RouteRuns>,
 }
 
 impl RunSpreads {
-    /// A task took `run_us`; `expected_us` was expected on this worker.
-    pub fn learn(&mut self, route: &Route, run_us: u64, expected_us: f64) {
-        let kind = self.kinds.entry(route.name.clone()).or_default();
-        kind.learn(run_us, run_us as f64 / expected_us.max(1.0));
+    /// Records a run; `expected_us` is its expected run time on that worker.
+    pub fn record(&mut self, route: &Route, run_us: u64, expected_us: f64) {
+        let route_runs = self.routes.entry(route.name.clone()).or_default();
+        route_runs.record(run_us, run_us as f64 / expected_us.max(1.0));
     }
 
-    /// The spread of a kind, once enough of its runs are known.
-    pub fn of(&self, route: &Route) -> Option<Arc<RunSpread>> {
-        self.kinds.get(&route.name)?.spread.clone()
+    /// Spread of a route, if enough of its runs are recorded.
+    pub fn get(&self, route: &Route) -> Option<Arc<RunSpread>> {
+        self.routes.get(&route.name)?.spread.clone()
     }
 
-    /// Median run time of a kind, in microseconds.
+    /// Median run time of a route, in microseconds.
     pub fn median_us(&self, route: &Route) -> Option<u64> {
-        self.kinds.get(&route.name)?.median_us
+        self.routes.get(&route.name)?.median_us
     }
 }
--- a/tests/dispatcher_bench/mod.rs
+++ b/tests/dispatcher_bench/mod.rs
@@ -142,8 +142,8 @@
 
     pub fn tell(&mut self, gate: u64, message: ToEntry) {
         let session = SessionId(gate);
-        self.dispatcher.heard(self.now, session);
-        self.dispatcher.message(self.now, session, message);
+        self.dispatcher.frame_received(self.now, session);
+        self.dispatcher.handle_message(self.now, session, message);
         self.collect();
     }
 
@@ -176,7 +176,7 @@
     pub fn steady(&mut self, ms: u64) {
         for _ in 0..ms / 100 {
             for gate in 1..=9 {
-                self.dispatcher.heard(self.now, SessionId(gate));
+                self.dispatcher.frame_received(self.now, SessionId(gate));
             }
             self.pass(100);
         }
--- a/tests/ephemeral_config_exchange.rs
+++ b/tests/ephemeral_config_exchange.rs
@@ -41,7 +41,7 @@
 
 fn learned(bench: &Bench) -> Vec<&ConfigDocument> {
     let learned = bench.actions.iter().filter_map(|action| match action {
-        DispatchAction::Learned(document) => Some(document),
+        DispatchAction::ConfigReceived(document) => Some(document),
         _ => None,
     });
     learned.collect()
@@ -50,7 +50,7 @@
 /// An entry with version 5 that was told of version 6 by its gates.
 fn behind(gates: u64) -> Bench {
     let mut bench = Bench::new(gates);
-    bench.dispatcher.config_in_force(document(5));
+    bench.dispatcher.apply_config(document(5));
     for gate in 1..=gates {
         bench.tell(gate, ToEntry::ConfigVersion(6));
     }
@@ -61,8 +61,8 @@
 #[test]
 fn a_new_configuration_is_told_by_its_version_only() {
     let mut bench = Bench::new(3);
-    bench.dispatcher.config_in_force(document(5));
-    bench.dispatcher.config_in_force(document(4));
+    bench.dispatcher.apply_config(document(5));
+    bench.dispatcher.apply_config(document(4));
     bench.collect();
     let told: Vec<&ToGate> = bench
         .actions
@@ -86,7 +86,7 @@
 #[test]
 fn a_gate_that_connected_before_the_change_is_told_after_its_hello() {
     let mut bench = Bench::new(1);
-    bench.dispatcher.config_in_force(document(5));
+    bench.dispatcher.apply_config(document(5));
     bench.collect();
     bench.actions.clear();
     bench.connect(1);
@@ -101,7 +101,7 @@
 #[test]
 fn the_store_goes_first_and_an_older_version_is_never_asked_for() {
     let mut bench = Bench::new(2);
-    bench.dispatcher.config_in_force(document(5));
+    bench.dispatcher.apply_config(document(5));
     bench.tell(1, ToEntry::ConfigVersion(4));
     bench.tell(1, ToEntry::ConfigVersion(5));
     bench.steady(3_000);
@@ -109,7 +109,7 @@
     bench.tell(1, ToEntry::ConfigVersion(6));
     bench.steady(900);
     assert!(asked(&mut bench).is_empty(), "the store may still give it");
-    bench.dispatcher.config_in_force(document(6));
+    bench.dispatcher.apply_config(document(6));
     bench.steady(3_000);
     assert!(asked(&mut bench).is_empty(), "the store gave it");
 }
@@ -222,7 +222,7 @@
 #[test]
 fn an_entry_gives_parts_of_what_it_has_only() {
     let mut bench = Bench::new(1);
-    bench.dispatcher.config_in_force(document(5));
+    bench.dispatcher.apply_config(document(5));
     bench.collect();
     bench.actions.clear();
     let asker = SessionId(77);
--- a/tests/ephemeral_congestion.rs
+++ b/tests/ephemeral_congestion.rs
@@ -23,7 +23,7 @@
 /// A second in which jobs of `priority` come to such a gate.
 fn congested(priority: u8, load: &GateLoad) -> Bench {
     let mut bench = Bench::new(1);
-    bench.dispatcher.schedule(Scheduling {
+    bench.dispatcher.set_scheduling(Scheduling {
         priority_classes: true,
         ..Scheduling::default()
     });
--- a/tests/ephemeral_deferral.rs
+++ b/tests/ephemeral_deferral.rs
@@ -25,7 +25,7 @@
 
 fn bench() -> Bench {
     let mut bench = Bench::new(1);
-    bench.dispatcher.schedule(PARTS);
+    bench.dispatcher.set_scheduling(PARTS);
     bench
 }
 
@@ -164,10 +164,10 @@
     bench.submit(1, job(1, 1), 1);
     bench
         .dispatcher
-        .waiter_gone(bench.now, WaiterId(1), JobId(1));
+        .remove_waiter(bench.now, WaiterId(1), JobId(1));
     bench.load(1, free(1_000));
     assert!(bench.starts.is_empty());
-    assert!(bench.dispatcher.idle());
+    assert!(bench.dispatcher.is_idle());
 }
 
 /// One failure: the only gate falls silent while a job is held, and another one comes.
--- a/tests/ephemeral_dispatcher.rs
+++ b/tests/ephemeral_dispatcher.rs
@@ -168,7 +168,7 @@
     assert_eq!(bench.starts.len(), 2);
     bench.load(1, load(0, 900 * MS));
     bench.pass(105);
-    bench.dispatcher.heard(bench.now, SessionId(1));
+    bench.dispatcher.frame_received(bench.now, SessionId(1));
     bench.ended(bench.starts[0], RunEnd::NotRun(NotRunReason::NoRoom));
     assert!(bench.answers.is_empty(), "the other task may have begun");
     assert_eq!(bench.stops, [bench.starts[1].1]);
@@ -211,12 +211,12 @@
     bench.submit(2, job(1, 1), 0);
     bench
         .dispatcher
-        .waiter_gone(bench.now, WaiterId(1), JobId(1));
+        .remove_waiter(bench.now, WaiterId(1), JobId(1));
     bench.collect();
     assert!(bench.stops.is_empty(), "another caller waits");
     bench
         .dispatcher
-        .waiter_gone(bench.now, WaiterId(2), JobId(1));
+        .remove_waiter(bench.now, WaiterId(2), JobId(1));
     bench.collect();
     assert_eq!(bench.stops, [bench.starts[0].1]);
 }
@@ -228,7 +228,7 @@
     let (session, _) = bench.starts[0];
     let other = SessionId(3 - session.0);
     for _ in 0..5 {
-        bench.dispatcher.heard(bench.now, other);
+        bench.dispatcher.frame_received(bench.now, other);
         bench.pass(100);
     }
     assert_eq!(bench.codes(), [ResultCode::OutcomeUnknown]);
@@ -266,7 +266,7 @@
     bench.dispatcher.connected(bench.now, &name, SessionId(9));
     bench
         .dispatcher
-        .waiter_gone(bench.now, WaiterId(1), JobId(1));
+        .remove_waiter(bench.now, WaiterId(1), JobId(1));
     bench.collect();
     assert!(bench.stops.is_empty(), "there is no session yet");
     let gate = ProcessId {
--- a/tests/ephemeral_entry_lag.rs
+++ b/tests/ephemeral_entry_lag.rs
@@ -16,7 +16,7 @@
 
 fn bench() -> Bench {
     let mut bench = Bench::new(4);
-    bench.dispatcher.schedule(Scheduling {
+    bench.dispatcher.set_scheduling(Scheduling {
         lag_limit: true,
         ..Scheduling::default()
     });
@@ -27,9 +27,9 @@
 fn turn(bench: &mut Bench, late_ms: u64, frames_ms: [u64; 5]) {
     bench.pass(10 + late_ms);
     let late = Duration::from_millis(late_ms);
-    bench.dispatcher.turned_late(bench.now, late);
+    bench.dispatcher.record_late_tick(bench.now, late);
     for wait_ms in frames_ms {
-        bench.dispatcher.frame_waited(bench.now, wait_ms * MS);
+        bench.dispatcher.record_frame_wait(bench.now, wait_ms * MS);
     }
 }
 
--- a/tests/ephemeral_fair_shares.rs
+++ b/tests/ephemeral_fair_shares.rs
@@ -23,7 +23,7 @@
 impl Site {
     fn new() -> Site {
         let mut bench = Bench::new(1);
-        bench.dispatcher.schedule(Scheduling {
+        bench.dispatcher.set_scheduling(Scheduling {
             fair_shares: true,
             ..Scheduling::default()
         });
--- a/tests/ephemeral_fleet/connections.rs
+++ b/tests/ephemeral_fleet/connections.rs
@@ -91,7 +91,7 @@
     /// for that only.
     fn has_work(&self, entry: usize, gate: usize) -> bool {
         let process = self.entries[entry].as_ref();
-        process.is_some_and(|process| process.dispatcher.wants(&format!("gate-{gate}")))
+        process.is_some_and(|process| process.dispatcher.wants_session(&format!("gate-{gate}")))
     }
 
     /// Every connection of an entry goes dead without a word.
--- a/tests/ephemeral_fleet/entries.rs
+++ b/tests/ephemeral_fleet/entries.rs
@@ -32,7 +32,7 @@
                     let (route, wait_us) = (route(id, 3), CALLER_WAITS_US);
                     process.dispatcher.submit(now, waiter, spec, route, wait_us);
                 }
-                EntryIn::Gone(waiter, id) => process.dispatcher.waiter_gone(now, waiter, id),
+                EntryIn::Gone(waiter, id) => process.dispatcher.remove_waiter(now, waiter, id),
             }
         }
         let actions = process.dispatcher.take_actions(now);
@@ -58,11 +58,13 @@
                     connection.to_gate.closed = true;
                     break;
                 };
-                process.dispatcher.heard(now, connection.entry_session);
+                process
+                    .dispatcher
+                    .frame_received(now, connection.entry_session);
                 for message in messages {
                     process
                         .dispatcher
-                        .message(now, connection.entry_session, message);
+                        .handle_message(now, connection.entry_session, message);
                 }
             }
             if link.closed && link.frames.is_empty() {
@@ -85,7 +87,7 @@
                 DispatchAction::Send { session, message } => {
                     outbox.entry(session).or_default().push(message);
                 }
-                DispatchAction::Close(session) | DispatchAction::Part(session) => {
+                DispatchAction::Close(session) | DispatchAction::CloseSurplus(session) => {
                     let of = |one: &Connection| one.entry == index && one.entry_session == session;
                     self.connections.retain(|one| !one.silent || !of(one));
                     self.close_connections(of, true);
@@ -94,7 +96,7 @@
                 DispatchAction::Reply { waiter, answer } => {
                     self.answered(index, waiter, &answer);
                 }
-                DispatchAction::Learned(_) => {}
+                DispatchAction::ConfigReceived(_) => {}
             }
         }
         let at_us = self.now_us + self.rng.random_range(500..4_000);
--- a/tests/ephemeral_losses.rs
+++ b/tests/ephemeral_losses.rs
@@ -419,7 +419,9 @@
             .map(|worker| loss(1, worker, true))
             .to_vec(),
     };
-    bench.dispatcher.know_gates(bench.now, &vec![record].into());
+    bench
+        .dispatcher
+        .update_gates(bench.now, &vec![record].into());
     bench.submit(1, job(1, 1), 0);
     bench.submit(2, job(2, 1), 0);
     assert_eq!(bench.starts.len(), 1, "another job is served");
@@ -436,7 +438,7 @@
     bench.dispatcher.disconnected(SessionId(gate));
     for _ in 0..6 {
         (1..=3).filter(|other| *other != gate).for_each(|other| {
-            bench.dispatcher.heard(bench.now, SessionId(other));
+            bench.dispatcher.frame_received(bench.now, SessionId(other));
         });
         bench.pass(100);
     }
--- a/tests/ephemeral_subset.rs
+++ b/tests/ephemeral_subset.rs
@@ -54,13 +54,13 @@
 
 fn subset_of(entry: &str, gates: usize) -> Subset {
     let mut subset = Subset::new(entry.into());
-    subset.know(at(0), &records(gates).into());
+    subset.update(at(0), &records(gates).into());
     subset.choose(at(0));
     subset
 }
 
 fn wanted(subset: &Subset) -> BTreeSet<usize> {
-    let wants = |index: &usize| subset.wants(&format!("gate-{index}"));
+    let wants = |index: &usize| subset.is_wanted(&format!("gate-{index}"));
     (0..1_400).filter(wants).collect()
 }
 
@@ -86,7 +86,7 @@
 #[test]
 fn the_subset_follows_what_is_asked_for() {
     let mut subset = subset_of("e", 240);
-    subset.ask(at(SECOND_US), &general(), 10 * ROOM);
+    subset.record_demand(at(SECOND_US), &general(), 10 * ROOM);
     subset.choose(at(2 * SECOND_US));
     let busy = wanted(&subset).len();
     assert!(
@@ -100,7 +100,7 @@
 #[test]
 fn an_entry_with_a_quarter_of_all_work_wants_all_gates() {
     let mut subset = subset_of("e", 240);
-    subset.ask(at(0), &general(), 60 * ROOM);
+    subset.record_demand(at(0), &general(), 60 * ROOM);
     subset.choose(at(SECOND_US / 10));
     subset.choose(at(SECOND_US / 4));
     let wanted = wanted(&subset).len();
@@ -116,7 +116,8 @@
         .take(8)
         .map(|i| format!("gate-{i}").into())
         .collect();
-    gone.iter().for_each(|gate| subset.note(gate, false));
+    gone.iter()
+        .for_each(|gate| subset.set_available(gate, false));
     subset.choose(at(SECOND_US));
     let during = wanted(&subset);
     assert_eq!(
@@ -125,7 +126,8 @@
         "eight others, and those that are away are tried on"
     );
     assert!(during.is_superset(&before));
-    gone.iter().for_each(|gate| subset.note(gate, true));
+    gone.iter()
+        .for_each(|gate| subset.set_available(gate, true));
     subset.choose(at(2 * SECOND_US));
     assert_eq!(wanted(&subset), before);
 }
@@ -139,7 +141,7 @@
         removed: vec![record(gone).gate],
         ..GateChanges::default()
     };
-    subset.know(at(SECOND_US), &removed);
+    subset.update(at(SECOND_US), &removed);
     subset.choose(at(SECOND_US));
     assert_eq!(wanted(&subset), before, "a record may be back in a moment");
     subset.choose(at(4 * SECOND_US));
@@ -157,7 +159,7 @@
         ..Constraints::default()
     });
     for kind in &on_rack {
-        subset.ask(at(SECOND_US), kind, ROOM / 2);
+        subset.record_demand(at(SECOND_US), kind, ROOM / 2);
     }
     subset.choose(at(SECOND_US));
     let there = wanted(&subset).range(84..96).count();
@@ -169,7 +171,7 @@
     let mut sessions = vec![0u32; 240];
     for entry in 0..55 {
         let mut subset = subset_of(&format!("front-{entry}"), 240);
-        subset.ask(at(0), &general(), 15 * ROOM / 2);
+        subset.record_demand(at(0), &general(), 15 * ROOM / 2);
         subset.choose(at(SECOND_US / 4));
         wanted(&subset).iter().for_each(|gate| sessions[*gate] += 1);
     }
@@ -183,7 +185,7 @@
 fn bench_that_knows(records: &[GateRecord]) -> Bench {
     let mut bench = Bench::new(1);
     let known = records.to_vec().into();
-    bench.dispatcher.know_gates(bench.now, &known);
+    bench.dispatcher.update_gates(bench.now, &known);
     bench.steady(4_000);
     bench.load(1, load(1_000, 0));
     bench
@@ -201,7 +203,7 @@
     let mut bench = bench_that_knows(&records(3));
     bench.submit(1, large_job(), 1);
     assert!(bench.answers.is_empty(), "{:?}", bench.answers);
-    assert!(bench.dispatcher.wants("gate-0"));
+    assert!(bench.dispatcher.wants_session("gate-0"));
     let mut large = load(1_000, 0);
     large.free.cpu_milli = ROOM;
     let mut traits = (*large.worker.clone().expect("a worker")).clone();
@@ -235,7 +237,7 @@
     let parts = bench
         .actions
         .iter()
-        .filter(|action| matches!(action, DispatchAction::Part(_)));
+        .filter(|action| matches!(action, DispatchAction::CloseSurplus(_)));
     parts.count()
 }
 
@@ -250,9 +252,9 @@
         gate: "g1".into(),
         ..record(0)
     });
-    bench.dispatcher.know_gates(bench.now, &all.into());
+    bench.dispatcher.update_gates(bench.now, &all.into());
     bench.pass(1);
-    assert!(bench.dispatcher.wants("g1"), "it has work there");
+    assert!(bench.dispatcher.wants_session("g1"), "it has work there");
     assert_eq!(parted(&bench), 0);
     bench.ended(start, winghold::ephemeral::message::RunEnd::Done);
     bench.pass(100);
--- a/tests/ephemeral_worker_speeds.rs
+++ b/tests/ephemeral_worker_speeds.rs
@@ -14,7 +14,7 @@
 use large_fleet::LargeFleet;
 use winghold::ephemeral::job::{JobSpec, RunId};
 use winghold::ephemeral::message::{GateLoad, RunEnd};
-use winghold::ephemeral::run_spread::{Placement, RunSpread};
+use winghold::ephemeral::run_spread::{PlannedRun, RunSpread};
 use winghold::ephemeral::scheduling::Scheduling;
 use winghold::ephemeral::session::SessionId;
 use winghold::ephemeral::worker::{StartReply, WorkerEnd};
@@ -138,8 +138,8 @@
 }
 
 /// Where a task of 100 ms would run 1.8 times as long, after `begin_us`.
-fn on_slow_worker(begin_us: f64, others: u32) -> Placement {
-    Placement {
+fn on_slow_worker(begin_us: f64, others: u32) -> PlannedRun {
+    PlannedRun {
         begin_us,
         run_us: 182e3,
         stretched_us: 160e3,
@@ -153,7 +153,7 @@
 #[test]
 fn the_chance_of_a_miss_follows_the_spread() {
     let ratios = (0..100).map(|index| if index < 97 { 1.0 } else { 7.0 });
-    let spread = RunSpread::of(ratios).expect("enough runs");
+    let spread = RunSpread::from_ratios(ratios).expect("enough runs");
     let chance = |begin_us, others| spread.miss_chance(&on_slow_worker(begin_us, others));
     assert!((0.01..0.05).contains(&chance(0.0, 0)));
     assert!(chance(60e3, 0) > 0.9);
@@ -165,7 +165,7 @@
 #[test]
 fn all_tasks_of_a_wide_job_go_where_they_end_in_time() {
     let mut bench = dispatcher_bench::Bench::new(2);
-    bench.dispatcher.schedule(ON);
+    bench.dispatcher.set_scheduling(ON);
     for id in 1..=40 {
         bench.submit(id, dispatcher_bench::job(id, 1), 0);
         let start = *bench.starts.last().expect("a start");
--- a/tests/large_fleet/entries.rs
+++ b/tests/large_fleet/entries.rs
@@ -45,7 +45,7 @@
         let mut dials = Dials::default();
         let known = GateChanges::from(records.to_vec());
         let mut dispatcher = Dispatcher::new(me, limits, logging::discard());
-        dispatcher.know_gates(now, &known);
+        dispatcher.update_gates(now, &known);
         dials.know(now, known);
         EntrySide {
             dispatcher,
@@ -115,13 +115,13 @@
             return;
         };
         let waited_us = now.mono_us.saturating_sub(flight.at_us);
-        side.dispatcher.frame_waited(now, waited_us);
-        side.dispatcher.heard(now, flight.session);
+        side.dispatcher.record_frame_wait(now, waited_us);
+        side.dispatcher.frame_received(now, flight.session);
         for message in flight.messages {
             if matches!(&message, ToEntry::Ended { end, .. } if *end != RunEnd::Done) {
                 self.counts.elsewhere += 1;
             }
-            side.dispatcher.message(now, flight.session, message);
+            side.dispatcher.handle_message(now, flight.session, message);
         }
     }
 
@@ -142,7 +142,7 @@
         let late_us = now.mono_us.saturating_sub(side.turned_us + STEP_US);
         side.turned_us = now.mono_us;
         side.dispatcher
-            .turned_late(now, Duration::from_micros(late_us));
+            .record_late_tick(now, Duration::from_micros(late_us));
         side.dispatcher.tick(now);
         let inputs = std::mem::take(&mut side.inbox);
         let takes_us = side.input_us * inputs.len() as u64;
@@ -179,7 +179,9 @@
             return;
         };
         let dispatcher = &side.dispatcher;
-        let attempts = side.dials.attempts(now, |gate| dispatcher.wants(gate));
+        let attempts = side
+            .dials
+            .attempts(now, |gate| dispatcher.wants_session(gate));
         for attempt in attempts {
             self.connect(index, &attempt.gate);
         }
@@ -236,7 +238,7 @@
                 DispatchAction::Send { session, message } => {
                     outbox.entry(session).or_default().push(message);
                 }
-                DispatchAction::Close(session) | DispatchAction::Part(session) => {
+                DispatchAction::Close(session) | DispatchAction::CloseSurplus(session) => {
                     self.close(session);
                 }
                 DispatchAction::Redial(name) => {
@@ -247,7 +249,7 @@
                 DispatchAction::Reply { waiter, answer } => {
                     self.answered(index, JobId(waiter.0), answer.code);
                 }
-                DispatchAction::Learned(_) => {}
+                DispatchAction::ConfigReceived(_) => {}
             }
         }
         for (session, messages) in outbox {
--- a/tests/large_fleet/mod.rs
+++ b/tests/large_fleet/mod.rs
@@ -231,7 +231,7 @@
             let me = self.next_life(format!("entry-{index}"));
             let now = self.now();
             let mut side = EntrySide::new(now, me, self.limits, &records);
-            side.dispatcher.schedule(self.scheduling);
+            side.dispatcher.set_scheduling(self.scheduling);
             self.entries[index] = Some(side);
         }
     }
@@ -240,7 +240,7 @@
     pub fn schedule(&mut self, scheduling: Scheduling) {
         self.scheduling = scheduling;
         for side in self.entries.iter_mut().flatten() {
-            side.dispatcher.schedule(scheduling);
+            side.dispatcher.set_scheduling(scheduling);
         }
     }
 
--- a/tests/narrow_links/mod.rs
+++ b/tests/narrow_links/mod.rs
@@ -173,7 +173,7 @@
             .is_none_or(|(version, _)| version < document.version)
         {
             machine.config = Some((document.version, self.now.mono_us));
-            machine.dispatcher.config_in_force(document);
+            machine.dispatcher.apply_config(document);
         }
     }
 
@@ -223,9 +223,9 @@
                     late.push(session.id);
                     break;
                 }
-                dispatcher.heard(now, session.id);
+                dispatcher.frame_received(now, session.id);
                 for message in messages {
-                    dispatcher.message(now, session.id, message);
+                    dispatcher.handle_message(now, session.id, message);
                 }
             }
         }
@@ -254,8 +254,10 @@
                 DispatchAction::Send { session, message } => {
                     outbox.entry(session).or_default().push(message);
                 }
-                DispatchAction::Close(session) | DispatchAction::Part(session) => self.end(session),
-                DispatchAction::Learned(document) => self.put_in_force(index, document),
+                DispatchAction::Close(session) | DispatchAction::CloseSurplus(session) => {
+                    self.end(session)
+                }
+                DispatchAction::ConfigReceived(document) => self.put_in_force(index, document),
                 // The session that is doubted ends before long, or it is heard.
                 DispatchAction::Redial(_) | DispatchAction::Reply { .. } => {}
             }
