--- a/src/ephemeral/dispatcher/admission.rs
+++ b/src/ephemeral/dispatcher/admission.rs
@@ -45,7 +45,7 @@
 const WORKER_DISCOVERY_PERIOD: Duration = Duration::from_secs(3);
 
 /// Reason for refusing a job that fits no worker now but did before.
-const CAPACITY_REDUCED: &str = "no worker has the capacity for it now";
+const CAPACITY_REDUCED: &str = "no worker has the capacity for the job's tasks now";
 /// Reason for refusing a job while all failure domains are evacuated.
 const EVACUATED: &str = "the failure domains of all workers are evacuated";
 /// Reason for refusing a job that fits no worker known so far.
@@ -102,7 +102,10 @@
             false => 0.0,
         };
         let Some(waits) = self.waits_with_headroom(now, job, headroom) else {
-            let answer = refused("no worker takes it now", NO_WORKER_RETRY_AFTER_MS);
+            let answer = refused(
+                "no worker accepts the job's tasks now",
+                NO_WORKER_RETRY_AFTER_MS,
+            );
             return Err(Denial::Answer(answer));
         };
         let patience_us = job.patience_us(now.mono_us) as f64;
@@ -115,7 +118,7 @@
         let max_wait_us = patience_us * self.admit_share(job, level) * (1.0 - congestion_above);
         if waits.longest_us as f64 > max_wait_us {
             let text = format!(
-                "no room within {} us; it may wait {} us at congestion {:.2}",
+                "the expected wait for room is {} us; at most {} us is allowed at congestion {:.2}",
                 waits.longest_us,
                 max_wait_us as u64,
                 level.max(congestion_above)
@@ -139,7 +142,7 @@
         }
         admitted.and_then(|()| {
             let answer = refused(
-                "more is asked for than usual",
+                "the route exceeds its usual demand while room is short",
                 self.retry_after_ms(now, job),
             );
             Err(Denial::NoRoom(answer))
@@ -213,7 +216,10 @@
     fn unfit_answer(&self, now: Moment) -> Answer {
         let since_us = self.open_gate_since_us.unwrap_or(now.mono_us);
         match now.mono_us > since_us + micros(WORKER_DISCOVERY_PERIOD) {
-            true => failed(ResultCode::CannotRun, "no worker could ever run it"),
+            true => failed(
+                ResultCode::CannotRun,
+                "no known worker can ever run the job's tasks",
+            ),
             false => refused(WORKERS_UNKNOWN, NO_WORKER_RETRY_AFTER_MS),
         }
     }
@@ -299,18 +305,18 @@
         wait_us: u64,
     ) {
         if let Some(job) = self.jobs.get_mut(&spec.id) {
-            info!(self.log, "job joined"; "job" => %spec.id);
+            info!(self.log, "caller joined an open job"; "job" => %spec.id);
             job.waiters.push(waiter);
             return;
         }
         let finished = self.finished.get(&spec.id);
         if let Some(answer) = finished.and_then(|finished| finished.answer.clone()) {
-            info!(self.log, "job answered again"; "job" => %spec.id, "code" => answer.code.name());
+            info!(self.log, "repeated the answer of a finished job"; "job" => %spec.id, "code" => answer.code.name());
             self.actions.push(DispatchAction::Reply { waiter, answer });
             return;
         }
         if let Some(answer) = self.answer_for_losses(spec.id) {
-            info!(self.log, "job not taken up again"; "job" => %spec.id, "why" => &answer.message);
+            info!(self.log, "job not started again after worker losses"; "job" => %spec.id, "why" => &answer.message);
             self.actions.push(DispatchAction::Reply { waiter, answer });
             return;
         }
@@ -379,7 +385,10 @@
             // Gates reconnect one by one, so the first ones may have too little room.
             Err(_) if !overdue => {}
             Err(Denial::NoGate) => {
-                let answer = refused("no worker is known", NO_WORKER_RETRY_AFTER_MS);
+                let answer = refused(
+                    "no worker became available in time",
+                    NO_WORKER_RETRY_AFTER_MS,
+                );
                 self.finish(now, id, answer);
             }
             Err(Denial::NoRoom(answer)) => self.defer_or_refuse(now, id, &answer.message),
--- a/src/ephemeral/dispatcher/config.rs
+++ b/src/ephemeral/dispatcher/config.rs
@@ -161,7 +161,7 @@
         let (name, session) = holders[index as usize];
         newer.tries += 1;
         let wanted = newer.wanted(now);
-        info!(self.log, "configuration asked for"; "version" => wanted.version,
+        info!(self.log, "requested a configuration part"; "version" => wanted.version,
             "offset" => wanted.offset, "gate" => &**name, "tries" => newer.tries,
             "behind_us" => now.mono_us - newer.since_us);
         let message = ToGate::WantConfig(wanted);
--- a/src/ephemeral/dispatcher/gates.rs
+++ b/src/ephemeral/dispatcher/gates.rs
@@ -141,7 +141,7 @@
         view.session = Some(session);
         let claimed = std::mem::take(&mut view.claimed);
         if view.incarnation != gate.incarnation {
-            info!(self.log, "gate is new"; "gate" => &**name, "incarnation" => gate.incarnation);
+            info!(self.log, "gate has a new incarnation"; "gate" => &**name, "incarnation" => gate.incarnation);
             view.incarnation = gate.incarnation;
         }
         self.stop_stale_claims(name, session, &claimed);
@@ -203,7 +203,7 @@
                 continue;
             }
             if !before {
-                info!(self.log, "gate is quiet"; "gate" => &**name,
+                info!(self.log, "frames from a gate are overdue"; "gate" => &**name,
                     "silent_us" => now.mono_us.saturating_sub(gate.last_frame_us));
             }
             self.actions.push(DispatchAction::Redial(name.clone()));
@@ -226,7 +226,7 @@
         let Some(gate) = self.gates.remove(name) else {
             return;
         };
-        info!(self.log, "gate given up"; "gate" => &**name,
+        info!(self.log, "gate dropped after silence"; "gate" => &**name,
             "silent_us" => now.mono_us.saturating_sub(gate.last_frame_us));
         self.update_open_gate_since(now);
         self.close_sessions(name);
@@ -240,7 +240,7 @@
             let answer = Answer::failure(
                 ResultCode::OutcomeUnknown,
                 Effect::Unknown,
-                "a worker's gate is gone",
+                "the gate with the job's tasks stopped responding",
             );
             self.finish(now, id, answer);
         }
--- a/src/ephemeral/dispatcher/lag.rs
+++ b/src/ephemeral/dispatcher/lag.rs
@@ -44,7 +44,7 @@
 /// Maximum number of tasks admitted at once.
 const MAX_CREDIT_TASKS: f64 = 16.0;
 /// Reason for refusing a job.
-const ENTRY_BEHIND: &str = "the entry is behind";
+const ENTRY_BEHIND: &str = "the entry is overloaded";
 
 /// Recent waits or delays, each with the time at which it ended.
 #[derive(Debug, Default)]
@@ -182,8 +182,10 @@
         let was_behind = lag.is_behind;
         lag.is_behind = refused || (was_behind && lag.admitted_share.share < 1.0);
         match (was_behind, lag.is_behind) {
-            (false, true) => info!(self.log, "entry falls behind"; "lag_us" => lag.us(now)),
-            (true, false) => info!(self.log, "entry has caught up"),
+            (false, true) => {
+                info!(self.log, "entry is overloaded and refuses jobs"; "lag_us" => lag.us(now))
+            }
+            (true, false) => info!(self.log, "entry is no longer overloaded"),
             _ => {}
         }
     }
--- a/src/ephemeral/dispatcher/losses.rs
+++ b/src/ephemeral/dispatcher/losses.rs
@@ -29,7 +29,7 @@
             if !self.jobs.contains_key(&loss.job) {
                 continue;
             }
-            info!(self.log, "worker lost under a task"; "job" => %loss.job, "task" => loss.index,
+            info!(self.log, "worker lost while it had a task"; "job" => %loss.job, "task" => loss.index,
                 "worker" => %loss.worker, "likely" => loss.likely, "ran" => loss.ran,
                 "losses" => self.losses.count(loss.job, loss.index));
             if let Some(answer) = self.answer_for_losses(loss.job) {
@@ -110,11 +110,14 @@
         let losses = self.losses.count(job, index);
         Some(match given_up.known {
             true => {
-                let why = format!("{losses} workers were lost under its task {index}");
+                let why =
+                    format!("{losses} workers were lost while they had task {index} of the job");
                 failed(ResultCode::TaskFailed, &why)
             }
             false => {
-                let why = format!("{losses} workers may have been lost under its task {index}");
+                let why = format!(
+                    "{losses} workers may have been lost while they had task {index} of the job"
+                );
                 Answer::failure(ResultCode::OutcomeUnknown, Effect::Unknown, &why)
             }
         })
