--- a/src/ephemeral/entry/mod.rs
+++ b/src/ephemeral/entry/mod.rs
@@ -192,7 +192,7 @@
         self.last_turn_us = now.mono_us;
         let delay = gap.saturating_sub(TICK_INTERVAL);
         self.max_turn_delay = self.max_turn_delay.max(delay);
-        self.dispatcher.turned_late(now, delay);
+        self.dispatcher.record_late_tick(now, delay);
     }
 
     fn handle(&mut self, now: Moment, event: Event) {
@@ -200,20 +200,20 @@
             Event::Submit(submission) => self.submit(now, *submission),
             Event::WaiterGone(waiter, job) => {
                 self.replies.remove(&waiter);
-                self.dispatcher.waiter_gone(now, waiter, job);
+                self.dispatcher.remove_waiter(now, waiter, job);
             }
             Event::Session(SessionEvent::Frame { session, frame }) => {
                 let age_us = self.sessions.age_us(now, session, frame.sent_us);
-                self.dispatcher.frame_waited(now, age_us);
+                self.dispatcher.record_frame_wait(now, age_us);
                 if age_us > micros(self.parts.limits.max_frame_age) {
                     warn!(self.parts.log, "frame exceeded the maximum age; closing session";
                         "session" => session.0, "age_us" => age_us);
                     self.end_session(session, SessionEndCause::LateFrame);
                     return;
                 }
-                self.dispatcher.heard(now, session);
+                self.dispatcher.frame_received(now, session);
                 for message in frame.messages {
-                    self.dispatcher.message(now, session, message);
+                    self.dispatcher.handle_message(now, session, message);
                 }
             }
             Event::Session(SessionEvent::Closed(session)) => {
@@ -221,7 +221,7 @@
             }
             Event::Dialed(name, stream) => self.dial_finished(now, &name, stream),
             Event::Gates(changes) => {
-                self.dispatcher.know_gates(now, &changes);
+                self.dispatcher.update_gates(now, &changes);
                 self.dialer.update_records(now, changes);
             }
             Event::Config(document) => self.apply_config(document, "store"),
@@ -253,7 +253,10 @@
 
     fn dial_gates(&mut self, now: Moment) {
         let dispatcher = &self.dispatcher;
-        for attempt in self.dialer.due_attempts(now, |gate| dispatcher.wants(gate)) {
+        for attempt in self
+            .dialer
+            .due_attempts(now, |gate| dispatcher.wants_session(gate))
+        {
             let (timer, tx) = (self.parts.timer.clone(), self.tx.clone());
             tokio::spawn(async move {
                 let stream = connect(&timer, attempt.addr, attempt.timeout).await;
@@ -265,7 +268,7 @@
     fn dial_finished(&mut self, now: Moment, gate: &Arc<str>, stream: Option<TcpStream>) {
         let Some(stream) = stream else {
             self.dialer.attempt_failed(gate);
-            self.dispatcher.unreachable(gate);
+            self.dispatcher.gate_unreachable(gate);
             return;
         };
         let sessions = &mut self.sessions;
@@ -289,9 +292,9 @@
                 self.parts
                     .metrics
                     .gauge("config_bytes", document.text.len() as u64);
-                self.dispatcher.schedule(table.scheduling);
+                self.dispatcher.set_scheduling(table.scheduling);
                 self.table.send_replace(Arc::new(table));
-                self.dispatcher.config_in_force(document);
+                self.dispatcher.apply_config(document);
             }
             Err(err) => {
                 warn!(self.parts.log, "invalid configuration"; "version" => document.version,
@@ -305,8 +308,8 @@
         if now.mono_us >= self.metrics_reported_us + micros(self.parts.limits.heartbeat_interval) {
             self.metrics_reported_us = now.mono_us;
             self.sessions.report_frame_counts(&self.parts.metrics);
-            self.dispatcher.show_gates(&self.parts.metrics);
-            self.dispatcher.show_lag(now, &self.parts.metrics);
+            self.dispatcher.record_gate_metrics(&self.parts.metrics);
+            self.dispatcher.record_lag_metrics(now, &self.parts.metrics);
             let delay_ms = std::mem::take(&mut self.max_turn_delay).as_millis() as u64;
             self.parts.metrics.time("turn_late_ms", delay_ms);
         }
@@ -324,7 +327,7 @@
                 DispatchAction::Close(session) => {
                     self.end_session(session, SessionEndCause::GivenUp)
                 }
-                DispatchAction::Part(session) => {
+                DispatchAction::CloseSurplus(session) => {
                     self.end_session(session, SessionEndCause::Surplus)
                 }
                 DispatchAction::Redial(gate) => self.dialer.suspect_connection(&gate),
@@ -333,7 +336,7 @@
                         let _ = reply.send(answer);
                     }
                 }
-                DispatchAction::Learned(document) => self.apply_config(document, "entry"),
+                DispatchAction::ConfigReceived(document) => self.apply_config(document, "entry"),
             }
         }
         for session in self.sessions.flush() {
