--- a/src/owner/admission.rs
+++ b/src/owner/admission.rs
@@ -121,7 +121,7 @@
             return Vec::new();
         };
         if record.submission.digest != submission.digest {
-            let text = "id was already used for another request";
+            let text = "this id belongs to another request";
             let answer = Answer::not_run(ResultCode::IdReused, text);
             return vec![answer_to(from, id, Ask::Submit, answer)];
         }
@@ -171,7 +171,7 @@
         match self.check_id(now, id) {
             IdCheck::New => self.accept(now, fleet, from, submission, 0),
             IdCheck::MayHaveStarted => {
-                let text = "outcome unknown: a previous owner may have run it";
+                let text = "an owner that is gone may have run it";
                 let answer = Answer::failure(ResultCode::OutcomeUnknown, Effect::Unknown, text);
                 vec![answer_to(from, id, Ask::Submit, answer)]
             }
@@ -189,11 +189,11 @@
         let ownership = &self.config.ownership;
         let time = id.time_ms();
         if time > now.wall_ms + ownership.skew_ms {
-            let text = "id: timestamp is ahead of the fleet's clocks";
+            let text = "id: its time is ahead of the fleet's clocks";
             return IdCheck::Rejected(ResultCode::ClockAhead, Effect::NotRun, text);
         }
         if time + ownership.retention_ms < now.wall_ms {
-            let text = "id: timestamp is older than the retention period";
+            let text = "id: older than kept answers";
             return IdCheck::Rejected(ResultCode::IdTooOld, Effect::Unknown, text);
         }
         if held.is_provably_new(time) {
@@ -300,7 +300,7 @@
 
     fn refusal(&self, fleet: &Fleet, submission: &Submission) -> Option<Answer> {
         let Some(kind) = self.kind(submission) else {
-            let text = "kind: not defined for this service";
+            let text = "kind: the service has no such kind";
             return Some(Answer::not_run(ResultCode::NotFound, text));
         };
         let request = PlacementRequest {
@@ -310,11 +310,11 @@
             avoid: &[],
         };
         if !self.placer.can_ever_run(fleet, &request) {
-            let text = "no target of the service meets the requirements";
+            let text = "no target of the service could ever run this";
             return Some(Answer::not_run(ResultCode::CannotRun, text));
         }
         if self.is_over_quota(submission) {
-            let text = "the team's share of the queue is full";
+            let text = "the team's part of the queue is full";
             let answer = Answer::not_run(ResultCode::QuotaExceeded, text);
             return Some(answer.retry_after(self.backlog_ms(fleet, submission)));
         }
@@ -332,7 +332,7 @@
         if self.backlog.is_empty() || wait_ms + run_ms <= submission.budget_ms {
             return None;
         }
-        let text = format!("deadline too short: estimated queueing time is {wait_ms} ms");
+        let text = format!("about {wait_ms} ms of work wait before it");
         let answer = Answer::not_run(ResultCode::DeadlineTooShort, &text);
         Some(answer.retry_after(wait_ms.max(MIN_RETRY_AFTER_MS)))
     }
@@ -392,7 +392,7 @@
     }
 
     fn overloaded_answer(&self, submission: &Submission) -> Answer {
-        let text = "queue full: work of the same or higher priority has precedence";
+        let text = "more urgent work fills the queue";
         let mean_ms = self.kind(submission).map_or(0, |kind| {
             self.run_times.expect(&submission.service, kind) / 1_000
         });
@@ -444,11 +444,7 @@
                 Some(answer) => answer.clone(),
                 None => accepted_answer(record),
             },
-            None => Answer::failure(
-                ResultCode::NotFound,
-                Effect::Unknown,
-                "submission not found",
-            ),
+            None => Answer::failure(ResultCode::NotFound, Effect::Unknown, "no such submission"),
         };
         vec![answer_to(from, id, Ask::Lookup, answer)]
     }
--- a/src/owner/progress.rs
+++ b/src/owner/progress.rs
@@ -348,11 +348,7 @@
             if deadline_us > now.mono_us {
                 break;
             }
-            let answer = self.failure_answer(
-                id,
-                ResultCode::DeadlinePassed,
-                "deadline passed before all tasks ended",
-            );
+            let answer = self.failure_answer(id, ResultCode::DeadlinePassed, "the deadline passed");
             actions.extend(self.end(now, id, answer));
             self.deadlines.remove(&(deadline_us, id));
         }
@@ -415,11 +411,11 @@
     match state {
         TaskState::Ended(TaskOutcome::Failed { status, body }) => {
             let body = String::from_utf8_lossy(body);
-            let text = format!("target answered with status {status}: {body}");
+            let text = format!("the target answered {status}: {body}");
             Some((ResultCode::TaskFailed, text))
         }
         TaskState::Ended(TaskOutcome::Lost) => {
-            let text = "outcome of a task is unknown".to_string();
+            let text = "what became of a task is lost".to_string();
             Some((ResultCode::OutcomeUnknown, text))
         }
         TaskState::Ended(TaskOutcome::Stopped) => {
--- a/src/router.rs
+++ b/src/router.rs
@@ -242,7 +242,7 @@
 
     fn timeout_answer(&self, now: Moment, pending: &PendingRequest) -> Option<Answer> {
         if now.mono_us >= pending.deadline_us + micros(ANSWER_GRACE) {
-            let text = "no owner answered before the deadline";
+            let text = "no answer came before the deadline";
             return Some(pending.failure(ResultCode::DeadlinePassed, text));
         }
         let waited_us = now.mono_us.saturating_sub(pending.received_us);
@@ -252,7 +252,7 @@
         if !cannot_proceed || waited_us < micros(RETRY_DELAY) {
             return None;
         }
-        let text = "no reachable owner for this id";
+        let text = "no owner serves this id now";
         let code = match pending.effect() {
             Effect::NotRun => ResultCode::NoOwner,
             _ => ResultCode::OutcomeUnknown,
@@ -268,7 +268,7 @@
             self.callers.extend(caller);
             return Vec::new();
         }
-        let text = "id was already used for another request";
+        let text = "this id belongs to another request";
         vec![RouterAction::Reply {
             callers: caller.into_iter().collect(),
             id: submission.id,
