--- a/src/agent/mod.rs
+++ b/src/agent/mod.rs
@@ -298,7 +298,7 @@
         let fleet = &self.node.fleet;
         self.member
             .observe_clock(now, fleet, &frame.from, frame.header.wall_ms);
-        self.member.observe(now, fleet, &frame.header.loads);
+        self.member.on_load_samples(now, fleet, &frame.header.loads);
         for message in frame.messages {
             self.on_message(now, &frame.from, message);
             self.apply(now);
@@ -382,8 +382,8 @@
                 MemberAction::Range { range, event } => {
                     info!(self.node.log, "range"; "range" => range.0, "event" => event);
                 }
-                MemberAction::Left { by_limit } => {
-                    info!(self.node.log, "left"; "by_limit" => by_limit);
+                MemberAction::Left { timed_out } => {
+                    info!(self.node.log, "left"; "by_limit" => timed_out);
                     self.left = true;
                 }
             }
--- a/src/bench/slopes.rs
+++ b/src/bench/slopes.rs
@@ -334,7 +334,7 @@
             departure_ms: 1,
         };
         time_us(51, || {
-            plan.next();
+            plan.next_table();
         })
     };
     RANGES
--- a/src/member.rs
+++ b/src/member.rs
@@ -16,7 +16,7 @@
 use crate::store::{StoreError, StoreReply, StoreRequest};
 use crate::time::{Moment, micros};
 
-/// Shortest duration of a stop, in which the member still refuses messages in flight.
+/// Minimum duration of a stop, so that the member can refuse messages in flight.
 const MIN_STOP_DURATION: Duration = Duration::from_millis(1_500);
 
 /// An effect that the surrounding process must carry out.
@@ -62,7 +62,7 @@
     /// The member has left the fleet; the process may exit.
     Left {
         /// Whether the stop timed out.
-        by_limit: bool,
+        timed_out: bool,
     },
 }
 
@@ -196,8 +196,8 @@
     }
 
     /// Merges load samples from a peer.
-    pub fn observe(&mut self, now: Moment, fleet: &Fleet, samples: &[LoadSample]) {
-        let actions = self.owner.observe(now, fleet, samples);
+    pub fn on_load_samples(&mut self, now: Moment, fleet: &Fleet, samples: &[LoadSample]) {
+        let actions = self.owner.on_load_samples(now, fleet, samples);
         self.push_owner_actions(actions);
     }
 
@@ -271,7 +271,8 @@
         self.advance_stop(now, fleet);
     }
 
-    /// Without a configuration from the store, there are no ranges to own.
+    /// Advances the lease and the table; without a configuration from the store, there are
+    /// no ranges to own.
     fn tick_ownership(&mut self, now: Moment, fleet: &Fleet) {
         if fleet.config_revision() == 0 && self.stopping.is_none() {
             return;
@@ -300,7 +301,7 @@
             return;
         };
         if now.mono_us >= stopping.until_us {
-            self.actions.push(MemberAction::Left { by_limit: true });
+            self.actions.push(MemberAction::Left { timed_out: true });
             return;
         }
         let lease_expired = now.mono_us >= self.ownership.lease_until_us();
@@ -311,7 +312,7 @@
         }
         self.ownership.release();
         if lease_expired {
-            self.actions.push(MemberAction::Left { by_limit: false });
+            self.actions.push(MemberAction::Left { timed_out: false });
         }
     }
 
@@ -368,7 +369,7 @@
                 }
                 OwnershipAction::Table(table) => self.actions.push(MemberAction::Table(table)),
                 OwnershipAction::LeasedUntil(until_us) => self.owner.set_lease_until(until_us),
-                OwnershipAction::Left => self.actions.push(MemberAction::Left { by_limit: false }),
+                OwnershipAction::Left => self.actions.push(MemberAction::Left { timed_out: false }),
             }
         }
     }
--- a/src/owner/admission.rs
+++ b/src/owner/admission.rs
@@ -29,7 +29,7 @@
     submission: Submission,
 }
 
-/// Whether an unknown id may have started before.
+/// Result of the check of an unknown id.
 enum IdCheck {
     /// It has never started.
     New,
@@ -99,14 +99,13 @@
         actions
     }
 
-    /// Builds the message that this owner does not serve `id`. It is marked untouched
-    /// if the id was certainly not accepted here: the range was never served, or is
-    /// held and has no record of the id.
+    /// Builds the reply that this owner does not serve `id`. The id is untouched, that
+    /// is, never accepted here, if its range was never served or is held without a
+    /// record of the id.
     fn not_owner(&self, from: &MemberId, id: SubmissionId) -> OwnerAction {
         let range = self.range_of(id);
-        let has_full_range =
-            self.ranges.contains_key(&range) && !self.submissions.contains_key(&id);
-        let untouched = has_full_range || !self.served.contains(&range);
+        let is_unrecorded = self.ranges.contains_key(&range) && !self.submissions.contains_key(&id);
+        let untouched = is_unrecorded || !self.served.contains(&range);
         send(from, Message::NotOwner { id, untouched })
     }
 
@@ -352,14 +351,16 @@
         ahead * owners * mean_us / u64::from(slots.max(1)) / 1_000
     }
 
+    /// Whether the team exceeds its share of the queue; enforced only while the queue is
+    /// more than half full.
     fn is_over_quota(&self, submission: &Submission) -> bool {
         let limit = self.config.policy.owner_queue;
         let Some(team) = submission.team.as_deref() else {
             return false;
         };
-        let shares: u32 = self.config.teams.iter().map(|team| team.share).sum();
+        let total_shares: u32 = self.config.teams.iter().map(|team| team.share).sum();
         let share = self.config.team(team).map_or(1, |team| team.share);
-        let team_limit = limit * share as usize / shares.max(share) as usize;
+        let team_limit = limit * share as usize / total_shares.max(share) as usize;
         self.backlog.len() > limit / 2 && self.backlog.team_len(team) > team_limit
     }
 
@@ -496,6 +497,8 @@
     Answer::failure(ResultCode::Accepted, record.effect(), &text)
 }
 
+/// States of a recovered submission's tasks. Tasks that no gate reported are waiting if
+/// they are provably new, else lost.
 fn recovered_tasks(
     now: Moment,
     count: usize,
@@ -514,7 +517,7 @@
         }) => TaskState::Sent {
             gate: gate.clone(),
             attempt: 0,
-            at_us: now.mono_us,
+            last_contact_us: now.mono_us,
             inquired_us: 0,
             avoid: Vec::new(),
         },
--- a/src/owner/dispatch.rs
+++ b/src/owner/dispatch.rs
@@ -39,7 +39,9 @@
 /// Tasks that wait at an owner, in dispatch order.
 #[derive(Debug, Default)]
 pub struct Backlog {
+    /// Tasks that can be dispatched now.
     order: BTreeSet<QueueKey>,
+    /// All waiting tasks, including delayed ones.
     queued: HashMap<TaskId, QueuedTask>,
     delayed_until: BTreeSet<(u64, TaskId)>,
     teams: HashMap<Arc<str>, usize>,
@@ -61,7 +63,7 @@
         self.teams.get(team).copied().unwrap_or(0)
     }
 
-    /// Number of tasks of at least `priority`, which go before a new task of it.
+    /// Number of tasks ahead of a new task of `priority`; lower values go first.
     pub fn ahead_of(&self, priority: u8) -> usize {
         let keys = self.order.iter();
         keys.take_while(|key| key.priority <= priority).count()
@@ -99,6 +101,7 @@
         self.queued.insert(task, QueuedTask { key, team });
     }
 
+    /// Fairness round of the next task of the submission's team.
     fn round(&self, config: &Config, submission: &Submission) -> usize {
         let Some(team) = submission.team.as_deref() else {
             return 0;
@@ -152,6 +155,7 @@
     /// Sends every waiting task that can be placed.
     pub(super) fn dispatch(&mut self, now: Moment, fleet: &Fleet) -> OwnerActions {
         let mut actions = Vec::new();
+        // Pairs of service and urgency for which no target has room.
         let mut full: HashSet<(Arc<str>, bool)> = HashSet::new();
         for task in self.backlog.candidates() {
             let Some(record) = self.submissions.get(&task.submission) else {
@@ -198,6 +202,7 @@
             avoid: &avoid,
         };
         let mut choice = self.placer.choose(now, fleet, &request);
+        // If every eligible gate has refused the task, the refusals are disregarded.
         if choice == Choice::NoTarget && !avoid.is_empty() {
             let unrestricted = PlacementRequest {
                 avoid: &[],
@@ -228,16 +233,16 @@
         *state = TaskState::Sent {
             gate: gate.clone(),
             attempt,
-            at_us: now.mono_us,
+            last_contact_us: now.mono_us,
             inquired_us: 0,
             avoid,
         };
-        let start = self.start(now, task, attempt, expected_us)?;
+        let start = self.start_message(now, task, attempt, expected_us)?;
         Some(vec![send(&gate, Message::Start(Box::new(start)))])
     }
 
     /// Builds the message that starts an attempt of a task.
-    pub(super) fn start(
+    pub(super) fn start_message(
         &self,
         now: Moment,
         task: TaskId,
--- a/src/owner/mod.rs
+++ b/src/owner/mod.rs
@@ -2,7 +2,7 @@
 //!
 //! A submission id maps to one range, and each range has one owner. The owner keeps the
 //! accepted ids for as long as callers may resend them. It admits an unknown id only if
-//! the id is later than the range's horizon, or if recovery proved that no gate started
+//! no previous owner can have accepted it, or if recovery proved that no gate started
 //! any task of it. Admission therefore needs no write to the store.
 //!
 //! [`ranges`] acquires, recovers, hands over and drops ranges; `admission` accepts or
@@ -66,13 +66,16 @@
     lease_until_us: u64,
     clock_skewed: bool,
     ranges: HashMap<RangeId, HeldRange>,
-    /// Ranges that this process has served at any time.
+    /// Ranges that this process has ever served.
     served: HashSet<RangeId>,
     /// Submissions received while their range was being acquired.
     deferred: HashMap<RangeId, Vec<DeferredSubmission>>,
-    handovers: HashMap<RangeId, crate::message::Handover>,
+    /// State received from previous owners, until the table assigns the range.
+    received_handovers: HashMap<RangeId, crate::message::Handover>,
     submissions: HashMap<SubmissionId, SubmissionRecord>,
+    /// Monotonic deadlines of the open submissions, in microseconds.
     deadlines: BTreeSet<(u64, SubmissionId)>,
+    /// Wall-clock times at which records are removed, in milliseconds.
     expiries: BTreeSet<(u64, SubmissionId)>,
     backlog: Backlog,
     placer: Placer,
@@ -91,7 +94,7 @@
             ranges: HashMap::new(),
             served: HashSet::new(),
             deferred: HashMap::new(),
-            handovers: HashMap::new(),
+            received_handovers: HashMap::new(),
             submissions: HashMap::new(),
             deadlines: BTreeSet::new(),
             expiries: BTreeSet::new(),
@@ -122,7 +125,12 @@
     }
 
     /// Merges load samples and dispatches the tasks that can now be placed.
-    pub fn observe(&mut self, now: Moment, fleet: &Fleet, samples: &[LoadSample]) -> OwnerActions {
+    pub fn on_load_samples(
+        &mut self,
+        now: Moment,
+        fleet: &Fleet,
+        samples: &[LoadSample],
+    ) -> OwnerActions {
         self.record_loads(now, samples);
         if self.backlog.is_empty() {
             return Vec::new();
@@ -189,11 +197,13 @@
         id.range(self.config.ownership.ranges)
     }
 
+    /// Wall-clock time until which a record is kept: its id may be resubmitted or its
+    /// answer looked up until then.
     fn retain_until_ms(&self, now: Moment, id: SubmissionId) -> u64 {
         let ownership = &self.config.ownership;
-        let resubmitted = id.time_ms() + ownership.retention_ms + ownership.skew_ms;
-        let polled = now.wall_ms + ownership.retention_ms / 5;
-        resubmitted.max(polled)
+        let resubmit_until_ms = id.time_ms() + ownership.retention_ms + ownership.skew_ms;
+        let lookup_until_ms = now.wall_ms + ownership.retention_ms / 5;
+        resubmit_until_ms.max(lookup_until_ms)
     }
 
     fn inquiry_interval(&self) -> Duration {
--- a/src/owner/progress.rs
+++ b/src/owner/progress.rs
@@ -11,7 +11,8 @@
 use crate::time::{Moment, micros};
 
 impl Owner {
-    /// Handles a gate's refusal: the gate has not started the attempt and never will.
+    /// Handles a gate's refusal of an attempt. Unless the epoch was stale, the gate never
+    /// starts that attempt.
     pub fn on_refused(
         &mut self,
         now: Moment,
@@ -22,7 +23,7 @@
         reason: Refusal,
     ) -> OwnerActions {
         if reason == Refusal::StaleEpoch {
-            // The attempt is not barred: the owner of the newer epoch resends it.
+            // The owner of the newer epoch resends the same attempt.
             return Vec::new();
         }
         let Some(attempt) = self.return_to_waiting(from, task, attempt, reason) else {
@@ -35,7 +36,7 @@
         self.dispatch(now, fleet)
     }
 
-    /// Returns a sent task to the waiting state; gives its next attempt number.
+    /// Changes a sent task back to waiting and returns its next attempt number.
     fn return_to_waiting(
         &mut self,
         from: &MemberId,
@@ -86,13 +87,13 @@
         if let Some(TaskState::Sent {
             gate,
             inquired_us,
-            at_us,
+            last_contact_us,
             ..
         }) = state
             && gate == from
         {
             *inquired_us = 0;
-            *at_us = now.mono_us;
+            *last_contact_us = now.mono_us;
         }
     }
 
@@ -159,8 +160,8 @@
         self.settle(now, task.submission)
     }
 
-    /// Handles a task whose outcome is unknown: retries it if that is allowed, else
-    /// ends it as lost.
+    /// Handles a task whose outcome is unknown: retries it if it is repeatable and the
+    /// retry budget allows it, else ends it as lost.
     fn on_task_lost(&mut self, now: Moment, from: &MemberId, task: TaskId) -> OwnerActions {
         let repeatable = self.is_repeatable(task.submission);
         let Some(record) = self.submissions.get_mut(&task.submission) else {
@@ -209,7 +210,7 @@
         })
     }
 
-    /// Handles the end of a gate's process: the tasks it had are lost.
+    /// Handles the end of a gate's process: the outcome of its tasks is unknown.
     pub fn on_gate_gone(&mut self, now: Moment, fleet: &Fleet, gone: &MemberId) -> OwnerActions {
         let mut actions = Vec::new();
         for task in self.tasks_at(gone) {
@@ -228,10 +229,10 @@
                 .submissions
                 .get(id)
                 .map_or(&[][..], |record| record.open_tasks());
-            let here = (0u32..)
+            let at_gate = (0u32..)
                 .zip(states)
                 .filter(|(_, state)| state.gate() == Some(gate));
-            tasks.extend(here.map(|(index, _)| TaskId {
+            tasks.extend(at_gate.map(|(index, _)| TaskId {
                 submission: *id,
                 index,
             }));
@@ -260,14 +261,14 @@
         };
         let kind = self.kind(&record.submission)?;
         let expected_us = self.run_times.expect(&record.submission.service, kind);
-        let start = self.start(now, task, *attempt, expected_us)?;
+        let start = self.start_message(now, task, *attempt, expected_us)?;
         Some(send(gate, Message::Start(Box::new(start))))
     }
 
     /// Asks gates about tasks without a recent report. A gate bars an attempt that it
     /// has not started, which can then be retried elsewhere.
     pub(super) fn send_inquiries(&mut self, now: Moment, fleet: &Fleet) -> OwnerActions {
-        let after_us = micros(self.inquiry_interval());
+        let interval_us = micros(self.inquiry_interval());
         let mut actions = Vec::new();
         let mut unanswered = Vec::new();
         for (_, id) in &self.deadlines {
@@ -285,7 +286,7 @@
                 let TaskState::Sent {
                     gate,
                     attempt,
-                    at_us,
+                    last_contact_us,
                     inquired_us,
                     ..
                 } = state
@@ -294,10 +295,10 @@
                 };
                 let task = TaskId { submission, index };
                 let gate_missing = !fleet.members().contains_key(gate);
-                let is_due = |since: u64| since + after_us <= now.mono_us;
+                let is_due = |since: u64| since + interval_us <= now.mono_us;
                 if *inquired_us > 0 && is_due(*inquired_us) && gate_missing {
                     unanswered.push((gate.clone(), task));
-                } else if is_due((*at_us).max(*inquired_us)) {
+                } else if is_due((*last_contact_us).max(*inquired_us)) {
                     *inquired_us = now.mono_us;
                     let message = Message::Inquire {
                         task,
@@ -318,7 +319,7 @@
     /// Ends a submission if a task failed or all tasks have ended.
     pub(super) fn settle(&mut self, now: Moment, id: SubmissionId) -> OwnerActions {
         let Some(Progress::Open { tasks, unfinished }) =
-            self.submissions.get(&id).map(|e| &e.progress)
+            self.submissions.get(&id).map(|record| &record.progress)
         else {
             return Vec::new();
         };
--- a/src/owner/ranges.rs
+++ b/src/owner/ranges.rs
@@ -1,10 +1,10 @@
 //! Acquisition, recovery, handover and loss of key ranges.
 //!
-//! After a crash, the new owner waits until the old owner can no longer admit ids above
-//! the horizon. It then asks every gate which tasks of the range it started. A gate
-//! that has answered refuses starts of older epochs. When all gates have answered, an
-//! id that none of them reported has never started. If a gate is gone, the outcome of
-//! ids older than its departure stays unknown.
+//! After a crash, the new owner waits until every id that the old owner may have
+//! accepted has a timestamp in the past. It then asks every gate which tasks of the range
+//! it started. A gate that has answered refuses starts of older epochs. When all gates
+//! have answered, an id that none of them reported has never started. If a gate is gone,
+//! the outcome of ids older than its departure stays unknown.
 
 use std::collections::{BTreeMap, HashSet};
 use std::time::Duration;
@@ -29,13 +29,15 @@
     /// Epoch of the range in the table.
     pub epoch: Epoch,
     phase: Phase,
+    /// No previous owner accepted an id later than this wall-clock time.
     horizon_ms: u64,
+    /// An id later than this wall-clock time has never started unless it has a record.
     proof_floor_ms: u64,
 }
 
 #[derive(Clone, Debug)]
 enum Phase {
-    /// Waits until the old owner can no longer admit submissions.
+    /// Waits until all ids that the old owner may have accepted lie in the past.
     Waiting { until_us: u64 },
     /// Asks the gates which tasks they started.
     Recovering {
@@ -96,8 +98,8 @@
         let rows = (0u32..).zip(&fleet.table().rows);
         for (index, row) in rows.filter(|(_, row)| row.owner == *holder) {
             let range = RangeId(index);
-            let known = self.ranges.get(&range).map(|held| held.epoch);
-            if known != Some(row.epoch) {
+            let held_epoch = self.ranges.get(&range).map(|held| held.epoch);
+            if held_epoch != Some(row.epoch) {
                 actions.extend(self.acquire(now, range, row));
             }
         }
@@ -168,7 +170,7 @@
 
     fn acquire(&mut self, now: Moment, range: RangeId, row: &Row) -> OwnerActions {
         let previous_epoch = self.ranges.get(&range).map(|held| held.epoch);
-        let handover = self.handovers.remove(&range);
+        let handover = self.received_handovers.remove(&range);
         match row.passage {
             Passage::First => self.insert_active(range, row.epoch, 0, 0),
             Passage::Resumed if previous_epoch.map(Epoch::next) == Some(row.epoch) => {
@@ -288,6 +290,7 @@
                 let present = |gate: &MemberId| fleet.table().gates.contains(gate);
                 let gone = unanswered.iter().any(|gate| !present(gate));
                 if gone || *until_us <= now.mono_us {
+                    // Without all answers, no id is proven new.
                     held.proof_floor_ms = u64::MAX;
                     return self.finish_recovery(now, range);
                 }
@@ -424,7 +427,7 @@
     /// Stores the state of a range that another owner hands over.
     pub fn on_handover(&mut self, from: &MemberId, handover: Handover) -> OwnerActions {
         let (range, epoch) = (handover.range, handover.epoch);
-        self.handovers.insert(range, handover);
+        self.received_handovers.insert(range, handover);
         vec![send(from, Message::HandoverTaken { range, epoch })]
     }
 
@@ -553,7 +556,7 @@
         HandoverTask::Sent { gate, attempt } => TaskState::Sent {
             gate: gate.clone(),
             attempt: *attempt,
-            at_us: now.mono_us,
+            last_contact_us: now.mono_us,
             inquired_us: 0,
             avoid: Vec::new(),
         },
--- a/src/owner/submission.rs
+++ b/src/owner/submission.rs
@@ -6,7 +6,7 @@
 use crate::id::{MemberId, RangeId};
 use crate::message::{Answer, RecoveredTask, Refusal, Submission, TaskOutcome};
 
-/// Steps retained for each submission.
+/// Maximum number of steps recorded for a submission.
 const MAX_STEPS: usize = 16;
 
 /// A submission and its progress.
@@ -20,8 +20,8 @@
     pub progress: Progress,
     /// Entries that wait for the answer.
     pub waiters: Vec<MemberId>,
-    /// Call numbers received for it. A call that was answered "not run" must not run
-    /// when a delayed duplicate arrives.
+    /// Numbers of the calls that submitted it. A delayed duplicate of a call that was
+    /// answered "not run" must not run.
     pub calls: Vec<u64>,
     /// Deadline on the owner's monotonic clock.
     pub deadline_us: u64,
@@ -48,8 +48,8 @@
         /// First unused attempt number; `u32::MAX` if it must not run again.
         next_attempt: u32,
     },
-    /// A gate reported tasks that a previous owner started; the caller has not sent it
-    /// again yet.
+    /// Known only from gates that report tasks started by a previous owner; its caller
+    /// has not resubmitted it yet.
     Recovered {
         /// Reported tasks by index.
         tasks: BTreeMap<u32, RecoveredTask>,
@@ -73,7 +73,7 @@
         /// Number of the attempt.
         attempt: u32,
         /// Monotonic time of the send or of the gate's last report.
-        at_us: u64,
+        last_contact_us: u64,
         /// Monotonic time of the pending inquiry; 0 if none.
         inquired_us: u64,
         /// Gates that refused earlier attempts.
@@ -92,7 +92,7 @@
         }
     }
 
-    /// The gate that it was sent to, while it is there.
+    /// The gate of a sent task; `None` in the other states.
     pub fn gate(&self) -> Option<&MemberId> {
         match self {
             TaskState::Sent { gate, .. } => Some(gate),
@@ -159,7 +159,7 @@
         /// The gate.
         gate: MemberId,
     },
-    /// It was taken over from a previous owner.
+    /// The submission was taken over from a previous owner.
     Inherited,
 }
 
@@ -228,7 +228,7 @@
         }
     }
 
-    /// Whether `call` may start it again: nothing of it ran, and the call is new.
+    /// Whether `call` may start it again: no task has run, and the call is new.
     pub fn can_reopen(&self, call: u64) -> bool {
         match &self.progress {
             Progress::Ended {
--- a/src/ownership/handover.rs
+++ b/src/ownership/handover.rs
@@ -20,7 +20,7 @@
     pub(super) to: MemberId,
     pub(super) epoch: Epoch,
     sent_us: u64,
-    pub(super) taken: bool,
+    pub(super) confirmed: bool,
 }
 
 impl Ownership {
@@ -32,7 +32,7 @@
             let row = table.row(*range);
             row.is_some_and(|row| row.owner.member == *own_id && row.epoch == handover.epoch)
         });
-        if now.mono_us >= self.lease_until_us || !self.can_take_over(now, RETRY_DELAY) {
+        if now.mono_us >= self.lease_until_us || !self.is_store_stable(now, RETRY_DELAY) {
             return Vec::new();
         }
         for (range, epoch, to) in self.due_handovers(fleet) {
@@ -40,7 +40,7 @@
                 to,
                 epoch,
                 sent_us: 0,
-                taken: false,
+                confirmed: false,
             };
             self.handovers.entry(range).or_insert(handover);
         }
@@ -54,11 +54,11 @@
             let gone = !fleet.members().contains_key(&handover.to);
             if gone && let Some(to) = successors.first() {
                 handover.to = to.clone();
-                handover.taken = false;
+                handover.confirmed = false;
                 handover.sent_us = 0;
             }
             let resend_us = handover.sent_us + micros(HANDOVER_RESEND_INTERVAL);
-            if handover.taken || (handover.sent_us > 0 && now.mono_us < resend_us) {
+            if handover.confirmed || (handover.sent_us > 0 && now.mono_us < resend_us) {
                 continue;
             }
             handover.sent_us = now.mono_us;
@@ -68,6 +68,7 @@
         actions
     }
 
+    /// Members that can receive ranges, those with the fewest first.
     fn successors(&self, fleet: &Fleet) -> Vec<MemberId> {
         let table = fleet.table();
         let others = fleet.members().values();
@@ -80,10 +81,11 @@
         others.iter().map(|member| member.id.clone()).collect()
     }
 
+    /// Ranges to hand over now, with their successors.
     fn due_handovers(&self, fleet: &Fleet) -> Vec<(RangeId, Epoch, MemberId)> {
         let table = fleet.table();
         let successors = self.successors(fleet);
-        let Some(least) = successors.first() else {
+        let Some(fewest) = successors.first() else {
             return Vec::new();
         };
         let holder = self.record.holder();
@@ -98,20 +100,20 @@
             return own_ranges
                 .into_iter()
                 .zip(to)
-                .map(|((r, e), to)| (r, e, to.clone()))
+                .map(|((range, epoch), to)| (range, epoch, to.clone()))
                 .collect();
         }
         let owners = successors.len() + 1;
         let (fair_share, remainder) = (table.rows.len() / owners, table.rows.len() % owners);
         let max_rows = fair_share + usize::from(remainder > 0);
-        if !self.handovers.is_empty() || table.owned_by(least) >= fair_share {
+        if !self.handovers.is_empty() || table.owned_by(fewest) >= fair_share {
             return Vec::new();
         }
         let surplus = own_ranges.len().saturating_sub(max_rows);
-        let wanted = fair_share - table.owned_by(least);
+        let wanted = fair_share - table.owned_by(fewest);
         let first = own_ranges.into_iter().take(surplus.min(wanted));
         first
-            .map(|(range, epoch)| (range, epoch, least.clone()))
+            .map(|(range, epoch)| (range, epoch, fewest.clone()))
             .collect()
     }
 
@@ -121,7 +123,7 @@
         if let Some(handover) =
             handover.filter(|handover| handover.to == *from && handover.epoch == epoch)
         {
-            handover.taken = true;
+            handover.confirmed = true;
         }
     }
 }
--- a/src/ownership/mod.rs
+++ b/src/ownership/mod.rs
@@ -1,10 +1,10 @@
 //! The process's lease in the store, and its updates to the range table.
 //!
 //! The lease period starts when the request is sent, on the local monotonic clock, so
-//! the lease ends locally before it ends in the store. A lease after an expired one
-//! starts a new session, which gets the rows of the old session through the table,
-//! unless another member has taken them over. The rows of departed members go to other
-//! members with the next table.
+//! the lease ends locally before it ends in the store. After an expiry, the next lease
+//! starts a new session. The next table assigns the ranges of the old session to it,
+//! unless another member has taken them over, and the ranges of departed members to
+//! other members.
 
 mod handover;
 mod plan;
@@ -27,7 +27,7 @@
 /// Delay before the first table is written, so that the other members can register.
 const FIRST_TABLE_DELAY: Duration = Duration::from_millis(600);
 
-/// Kind of a store call, which matches it with its reply.
+/// Kind of a store call, by which a reply is matched to its call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StoreOp {
     /// Grant a lease.
@@ -89,6 +89,7 @@
     record: MemberRecord,
     lease: Lease,
     lease_until_us: u64,
+    /// Time of the next renewal; a leaving member rewrites its record first if it is 0.
     renew_us: u64,
     lease_retry_us: u64,
     lease_call: Option<Call>,
@@ -100,7 +101,7 @@
     store_failure_us: Option<u64>,
     change_pending_since_us: Option<u64>,
     handovers: BTreeMap<RangeId, PendingHandover>,
-    released: bool,
+    release_requested: bool,
 }
 
 impl Ownership {
@@ -121,7 +122,7 @@
             store_failure_us: None,
             change_pending_since_us: None,
             handovers: BTreeMap::new(),
-            released: false,
+            release_requested: false,
         }
     }
 
@@ -151,7 +152,7 @@
 
     /// Requests the end of the lease.
     pub fn release(&mut self) {
-        self.released = true;
+        self.release_requested = true;
     }
 
     /// Records that the store was read and `fleet` reflects it.
@@ -166,9 +167,9 @@
 
     /// Makes the calls and handovers that are due.
     pub fn tick(&mut self, now: Moment, fleet: &Fleet) -> Vec<OwnershipAction> {
-        let lease = Duration::from_millis(fleet.config().ownership.lease_ms);
+        let ttl = Duration::from_millis(fleet.config().ownership.lease_ms);
         let mut actions = Vec::new();
-        actions.extend(self.next_lease_call(now, lease));
+        actions.extend(self.next_lease_call(now, ttl));
         actions.extend(self.hand_over(now, fleet));
         actions.extend(self.next_table_call(now, fleet));
         actions
@@ -179,9 +180,11 @@
             return None;
         }
         let (op, request) = match self.lease {
-            Lease::Granted { lease } if self.released => (StoreOp::Revoke, revoke(lease)),
-            Lease::Registered { lease, .. } if self.released => (StoreOp::Revoke, revoke(lease)),
-            Lease::None if self.released => {
+            Lease::Granted { lease } if self.release_requested => (StoreOp::Revoke, revoke(lease)),
+            Lease::Registered { lease, .. } if self.release_requested => {
+                (StoreOp::Revoke, revoke(lease))
+            }
+            Lease::None if self.release_requested => {
                 self.lease = Lease::Revoked;
                 return Some(OwnershipAction::Left);
             }
@@ -328,11 +331,10 @@
         self.store_failure_us = Some(now.mono_us);
     }
 
-    /// Whether members without a record count as departed. After a store failure, they
-    /// get `ttl` to register again.
-    fn can_take_over(&self, now: Moment, ttl: Duration) -> bool {
+    /// Whether no store call failed within the last `period`.
+    fn is_store_stable(&self, now: Moment, period: Duration) -> bool {
         self.store_failure_us
-            .is_none_or(|at| now.mono_us >= at + micros(ttl))
+            .is_none_or(|at| now.mono_us >= at + micros(period))
     }
 
     fn next_table_call(&mut self, now: Moment, fleet: &Fleet) -> Option<OwnershipAction> {
@@ -360,7 +362,7 @@
         let handed_over: BTreeMap<RangeId, (Epoch, MemberId)> = self
             .handovers
             .iter()
-            .filter(|(_, handover)| handover.taken)
+            .filter(|(_, handover)| handover.confirmed)
             .map(|(range, handover)| (*range, (handover.epoch, handover.to.clone())))
             .collect();
         let plan = Plan {
@@ -369,17 +371,18 @@
             members: fleet.members(),
             max_owners: ownership.max_owners,
             handed_over: &handed_over,
-            can_take_over: self.can_take_over(now, ownership.lease()),
+            // After a store failure, members get one lease period to register again.
+            can_take_over: self.is_store_stable(now, ownership.lease()),
             self_placement: ownership.self_placement,
             departure_ms: now.wall_ms + 2 * ownership.skew_ms,
         };
-        plan.next()
+        plan.next_table()
     }
 
-    /// How long this member waits for another one to write the next table.
+    /// How long this member leaves the write of the next table to members of lower rank.
     fn write_delay(&self, fleet: &Fleet) -> Duration {
         let table = fleet.table();
-        if self.handovers.values().any(|handover| handover.taken) {
+        if self.handovers.values().any(|handover| handover.confirmed) {
             return Duration::ZERO;
         }
         let owned = table
@@ -404,11 +407,11 @@
         first_delay + WRITE_STAGGER * earlier.min(10)
     }
 
-    fn write_table(&mut self, now: Moment, present: &Table, next: &Table) -> OwnershipAction {
+    fn write_table(&mut self, now: Moment, current: &Table, next: &Table) -> OwnershipAction {
         let op = StoreOp::WriteTable;
         let sent_us = now.mono_us;
         self.table_call = Some(Call { op, sent_us });
-        let expect = match present.revision {
+        let expect = match current.revision {
             0 => Expect::Absent,
             revision => Expect::Revision(revision),
         };
--- a/src/ownership/plan.rs
+++ b/src/ownership/plan.rs
@@ -34,7 +34,7 @@
 
 impl Plan<'_> {
     /// The next table, if it differs from the current one.
-    pub fn next(&self) -> Option<Table> {
+    pub fn next_table(&self) -> Option<Table> {
         let mut next = self.table.clone();
         if next.rows.is_empty() {
             next.rows = self.initial_rows()?;
@@ -92,8 +92,8 @@
     }
 
     /// Raises the departure times of rows, as the tasks that `gone` started cannot be
-    /// recovered. Without self-placement, `gone` ran tasks of its own ranges only
-    /// before it owned them.
+    /// recovered. Without self-placement, a member starts no tasks of the ranges that it
+    /// owns, so for these only the time before it became the owner counts.
     fn record_departure(&self, next: &mut Table, gone: &MemberId) {
         for row in &mut next.rows {
             let is_own = row.owner.member == *gone && !self.self_placement;
@@ -139,8 +139,8 @@
             if self.members.contains_key(&row.owner.member) {
                 continue;
             }
-            let least = (0..owners.len()).min_by_key(|index| counts[*index]);
-            let Some(index) = least else {
+            let fewest = (0..owners.len()).min_by_key(|index| counts[*index]);
+            let Some(index) = fewest else {
                 return;
             };
             counts[index] += 1;
--- a/src/placement.rs
+++ b/src/placement.rs
@@ -19,14 +19,14 @@
 use crate::load::{Known, LoadBook, LoadSample};
 use crate::time::{Moment, micros};
 
-/// A sample may not include tasks sent within this time before its arrival.
+/// Tasks sent within this time before a sample arrives are assumed to be missing in it.
 const SAMPLE_LAG: Duration = Duration::from_millis(4);
-/// Sample age, in mean run times, after which tasks are assumed to finish.
+/// Age of a sample, in mean run times, from which its load is assumed to decrease.
 const STALE_AFTER_RUNS: u64 = 4;
 /// Queue length at a target below which non-urgent tasks are still sent.
 const NON_URGENT_TARGET_QUEUE: f64 = 1.0;
 /// Exponent of free slots and of slowness in the selection weight.
-const FREE_SLOT_EXPONENT: i32 = 2;
+const WEIGHT_EXPONENT: i32 = 2;
 /// Mean run time assumed for a target without samples.
 const DEFAULT_MEAN_RUN_US: u64 = 100_000;
 
@@ -101,7 +101,7 @@
     }
 
     fn weight(&self) -> f64 {
-        self.free_slots().powi(FREE_SLOT_EXPONENT) / self.slowness.max(0.2).powi(FREE_SLOT_EXPONENT)
+        self.free_slots().powi(WEIGHT_EXPONENT) / self.slowness.max(0.2).powi(WEIGHT_EXPONENT)
     }
 
     fn expected_wait_us(&self) -> f64 {
@@ -249,8 +249,8 @@
         fits && !is_own && !leaving && !request.avoid.contains(&record.id)
     }
 
-    /// Ejected gates that receive no task now. After the ejection time, a gate receives
-    /// one trial task at a time.
+    /// Ejected gates that receive no task now, limited to a share of all gates. After the
+    /// ejection time, a gate receives one trial task at a time.
     fn excluded_gates(&self, now: Moment, fleet: &Fleet, service: &str) -> Vec<MemberId> {
         let total = fleet.gates(service).count();
         let cap = total * self.policy().eject_cap_percent as usize / 100;
@@ -345,12 +345,12 @@
             return gate_choice(candidates, draw_weighted(candidates, point));
         }
         let limit = self.max_target_queue(urgent);
-        let open = candidates
+        let with_room = candidates
             .iter()
             .enumerate()
-            .filter(|(_, one)| one.queued() < limit);
-        let best =
-            open.min_by(|(_, a), (_, b)| a.expected_wait_us().total_cmp(&b.expected_wait_us()));
+            .filter(|(_, candidate)| candidate.queued() < limit);
+        let best = with_room
+            .min_by(|(_, a), (_, b)| a.expected_wait_us().total_cmp(&b.expected_wait_us()));
         match best {
             Some((index, _)) => gate_choice(candidates, index),
             None => Choice::Busy,
@@ -358,8 +358,9 @@
     }
 }
 
-/// Estimated load ahead of a task at a target. The load of an old sample is reduced by
-/// the tasks that have likely finished since.
+/// Estimated load ahead of a task at a target; an urgent task has only urgent tasks ahead
+/// of it in the queue. The load of an old sample is reduced by the tasks that have likely
+/// finished since.
 fn estimated_load(now: Moment, known: &Known, slots: u32, urgent: bool) -> f64 {
     let sample = &known.sample;
     let queued = if urgent {
--- a/src/retry.rs
+++ b/src/retry.rs
@@ -18,8 +18,8 @@
     /// Deposits the tokens of a first attempt.
     pub fn deposit(&mut self, policy: &Policy) {
         let deposit = f64::from(policy.retry_percent) / 100.0;
-        let most = f64::from(policy.retry_burst);
-        self.tokens = (self.tokens + deposit).min(most);
+        let max_tokens = f64::from(policy.retry_burst);
+        self.tokens = (self.tokens + deposit).min(max_tokens);
     }
 
     /// Withdraws the token of a retry; `false` if the budget is exhausted.
--- a/src/router.rs
+++ b/src/router.rs
@@ -1,6 +1,6 @@
 //! Forwards submissions, cancellations and lookups from an entry to owners.
 //!
-//! A request goes to the owner of its range, and is resent if the range moves or the
+//! A request goes to the owner of its id's range, and is resent if the range moves or the
 //! link breaks; owners deduplicate by id. If no owner answers, the entry reports "not
 //! run" only for a fresh id (generated here, or declared a first attempt by its caller)
 //! that no owner may have accepted.
@@ -47,6 +47,7 @@
     submission: Submission,
     callers: Vec<u64>,
     fresh: bool,
+    /// Owner and epoch of the last send; `None` if it must be sent again.
     sent: Option<(MemberId, Epoch)>,
     /// Number of sends to each owner that may have accepted it.
     unresolved_sends: HashMap<MemberId, u32>,
@@ -162,6 +163,7 @@
             let Some(pending) = self.pending.get_mut(&(id, ask)) else {
                 continue;
             };
+            // After several sends, the owner may still accept one in flight.
             if untouched && pending.unresolved_sends.get(from) == Some(&1) {
                 pending.unresolved_sends.remove(from);
             }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -563,7 +563,7 @@
         let one = &mut self.members[index];
         one.member
             .observe_clock(now, &one.fleet, &flight.from, flight.wall_ms);
-        one.member.observe(now, &one.fleet, &flight.loads);
+        one.member.on_load_samples(now, &one.fleet, &flight.loads);
         one.member
             .on_message(now, &one.fleet, &flight.from, flight.message);
         self.apply_member(index, now);
