--- a/src/owner/admission.rs
+++ b/src/owner/admission.rs
@@ -29,7 +29,7 @@
     submission: Submission,
 }
 
-/// Whether an unknown id may have started before.
+/// Result of the check of an unknown id.
 enum IdCheck {
     /// It has never started.
     New,
@@ -99,14 +99,13 @@
         actions
     }
 
-    /// Builds the message that this owner does not serve `id`. It is marked untouched
-    /// if the id was certainly not accepted here: the range was never served, or is
-    /// held and has no record of the id.
+    /// Builds the reply that this owner does not serve `id`. The id is untouched, that
+    /// is, never accepted here, if its range was never served or is held without a
+    /// record of the id.
     fn not_owner(&self, from: &MemberId, id: SubmissionId) -> OwnerAction {
         let range = self.range_of(id);
-        let has_full_range =
-            self.ranges.contains_key(&range) && !self.submissions.contains_key(&id);
-        let untouched = has_full_range || !self.served.contains(&range);
+        let is_unrecorded = self.ranges.contains_key(&range) && !self.submissions.contains_key(&id);
+        let untouched = is_unrecorded || !self.served.contains(&range);
         send(from, Message::NotOwner { id, untouched })
     }
 
@@ -121,7 +120,7 @@
             return Vec::new();
         };
         if record.submission.digest != submission.digest {
-            let text = "id was already used for another request";
+            let text = "this id belongs to another request";
             let answer = Answer::not_run(ResultCode::IdReused, text);
             return vec![answer_to(from, id, Operation::Submit, answer)];
         }
@@ -171,7 +170,7 @@
         match self.check_id(now, id) {
             IdCheck::New => self.accept(now, fleet, from, submission, 0),
             IdCheck::MayHaveStarted => {
-                let text = "outcome unknown: a previous owner may have run it";
+                let text = "an owner that is gone may have run it";
                 let answer = Answer::failure(ResultCode::OutcomeUnknown, Effect::Unknown, text);
                 vec![answer_to(from, id, Operation::Submit, answer)]
             }
@@ -189,11 +188,11 @@
         let ownership = &self.config.ownership;
         let time = id.time_ms();
         if time > now.wall_ms + ownership.skew_ms {
-            let text = "id: timestamp is ahead of the fleet's clocks";
+            let text = "id: its time is ahead of the fleet's clocks";
             return IdCheck::Rejected(ResultCode::ClockAhead, Effect::NotRun, text);
         }
         if time + ownership.retention_ms < now.wall_ms {
-            let text = "id: timestamp is older than the retention period";
+            let text = "id: older than kept answers";
             return IdCheck::Rejected(ResultCode::IdTooOld, Effect::Unknown, text);
         }
         if held.is_provably_new(time) {
@@ -300,7 +299,7 @@
 
     fn refusal(&self, fleet: &Fleet, submission: &Submission) -> Option<Answer> {
         let Some(kind) = self.kind(submission) else {
-            let text = "kind: not defined for this service";
+            let text = "kind: the service has no such kind";
             return Some(Answer::not_run(ResultCode::NotFound, text));
         };
         let request = PlacementRequest {
@@ -310,11 +309,11 @@
             avoid: &[],
         };
         if !self.placer.can_ever_run(fleet, &request) {
-            let text = "no target of the service meets the requirements";
+            let text = "no target of the service could ever run this";
             return Some(Answer::not_run(ResultCode::CannotRun, text));
         }
         if self.is_over_quota(submission) {
-            let text = "the team's share of the queue is full";
+            let text = "the team's part of the queue is full";
             let answer = Answer::not_run(ResultCode::QuotaExceeded, text);
             return Some(answer.retry_after(self.backlog_ms(fleet, submission)));
         }
@@ -332,7 +331,7 @@
         if self.backlog.is_empty() || wait_ms + run_ms <= submission.budget_ms {
             return None;
         }
-        let text = format!("deadline too short: estimated queueing time is {wait_ms} ms");
+        let text = format!("about {wait_ms} ms of work wait before it");
         let answer = Answer::not_run(ResultCode::DeadlineTooShort, &text);
         Some(answer.retry_after(wait_ms.max(MIN_RETRY_AFTER_MS)))
     }
@@ -352,14 +351,16 @@
         ahead * owners * mean_us / u64::from(slots.max(1)) / 1_000
     }
 
+    /// Whether the team exceeds its share of the queue; enforced only while the queue is
+    /// more than half full.
     fn is_over_quota(&self, submission: &Submission) -> bool {
         let limit = self.config.policy.owner_queue;
         let Some(team) = submission.team.as_deref() else {
             return false;
         };
-        let shares: u32 = self.config.teams.iter().map(|team| team.share).sum();
+        let total_shares: u32 = self.config.teams.iter().map(|team| team.share).sum();
         let share = self.config.team(team).map_or(1, |team| team.share);
-        let team_limit = limit * share as usize / shares.max(share) as usize;
+        let team_limit = limit * share as usize / total_shares.max(share) as usize;
         self.backlog.len() > limit / 2 && self.backlog.team_len(team) > team_limit
     }
 
@@ -392,7 +393,7 @@
     }
 
     fn overloaded_answer(&self, submission: &Submission) -> Answer {
-        let text = "queue full: work of the same or higher priority has precedence";
+        let text = "more urgent work fills the queue";
         let mean_ms = self.kind(submission).map_or(0, |kind| {
             self.run_times.expected_us(&submission.service, kind) / 1_000
         });
@@ -444,11 +445,7 @@
                 Some(answer) => answer.clone(),
                 None => accepted_answer(record),
             },
-            None => Answer::failure(
-                ResultCode::NotFound,
-                Effect::Unknown,
-                "submission not found",
-            ),
+            None => Answer::failure(ResultCode::NotFound, Effect::Unknown, "no such submission"),
         };
         vec![answer_to(from, id, Operation::Lookup, answer)]
     }
@@ -500,6 +497,8 @@
     Answer::failure(ResultCode::Accepted, record.effect(), &text)
 }
 
+/// States of a recovered submission's tasks. Tasks that no gate reported are waiting if
+/// they are provably new, else lost.
 fn recovered_tasks(
     now: Moment,
     count: usize,
@@ -518,7 +517,7 @@
         }) => TaskState::Sent {
             gate: gate.clone(),
             attempt: 0,
-            at_us: now.mono_us,
+            last_contact_us: now.mono_us,
             inquired_us: 0,
             avoid: Vec::new(),
         },
