--- a/src/ephemeral/dispatcher/admission.rs
+++ b/src/ephemeral/dispatcher/admission.rs
@@ -45,7 +45,7 @@
 const WORKER_DISCOVERY_PERIOD: Duration = Duration::from_secs(3);
 
 /// Reason for refusing a job that fits no worker now but did before.
-const CAPACITY_REDUCED: &str = "no worker has the capacity for the job's tasks now";
+const CAPACITY_REDUCED: &str = "no worker has the capacity for it now";
 /// Reason for refusing a job while all failure domains are evacuated.
 const EVACUATED: &str = "the failure domains of all workers are evacuated";
 /// Reason for refusing a job that fits no worker known so far.
@@ -102,10 +102,7 @@
             false => 0.0,
         };
         let Some(waits) = self.waits_with_headroom(now, job, headroom) else {
-            let answer = refused(
-                "no worker accepts the job's tasks now",
-                NO_WORKER_RETRY_AFTER_MS,
-            );
+            let answer = refused("no worker takes it now", NO_WORKER_RETRY_AFTER_MS);
             return Err(Denial::Answer(answer));
         };
         let patience_us = job.patience_us(now.mono_us) as f64;
@@ -118,7 +115,7 @@
         let max_wait_us = patience_us * self.admit_share(job, level) * (1.0 - congestion_above);
         if waits.longest_us as f64 > max_wait_us {
             let text = format!(
-                "the expected wait for room is {} us; at most {} us is allowed at congestion {:.2}",
+                "no room within {} us; it may wait {} us at congestion {:.2}",
                 waits.longest_us,
                 max_wait_us as u64,
                 level.max(congestion_above)
@@ -142,7 +139,7 @@
         }
         admitted.and_then(|()| {
             let answer = refused(
-                "the route exceeds its usual demand while room is short",
+                "more is asked for than usual",
                 self.retry_after_ms(now, job),
             );
             Err(Denial::NoRoom(answer))
@@ -216,10 +213,7 @@
     fn unfit_answer(&self, now: Moment) -> Answer {
         let since_us = self.open_gate_since_us.unwrap_or(now.mono_us);
         match now.mono_us > since_us + micros(WORKER_DISCOVERY_PERIOD) {
-            true => failed(
-                ResultCode::CannotRun,
-                "no known worker can ever run the job's tasks",
-            ),
+            true => failed(ResultCode::CannotRun, "no worker could ever run it"),
             false => refused(WORKERS_UNKNOWN, NO_WORKER_RETRY_AFTER_MS),
         }
     }
@@ -385,10 +379,7 @@
             // Gates reconnect one by one, so the first ones may have too little room.
             Err(_) if !overdue => {}
             Err(Denial::NoGate) => {
-                let answer = refused(
-                    "no worker became available in time",
-                    NO_WORKER_RETRY_AFTER_MS,
-                );
+                let answer = refused("no worker is known", NO_WORKER_RETRY_AFTER_MS);
                 self.finish(now, id, answer);
             }
             Err(Denial::NoRoom(answer)) => self.defer_or_refuse(now, id, &answer.message),
--- a/src/ephemeral/dispatcher/deferral.rs
+++ b/src/ephemeral/dispatcher/deferral.rs
@@ -331,11 +331,7 @@
             match self.jobs.get(&id).is_some_and(Job::is_untouched) {
                 true => {
                     self.deferral.forget(now, id);
-                    self.defer_or_refuse(
-                        now,
-                        id,
-                        "no room in time for the job's latency objective",
-                    );
+                    self.defer_or_refuse(now, id, "no room in time for its objective");
                 }
                 false => self.requeue_deferred(now, id),
             }
--- a/src/ephemeral/dispatcher/gates.rs
+++ b/src/ephemeral/dispatcher/gates.rs
@@ -240,7 +240,7 @@
             let answer = Answer::failure(
                 ResultCode::OutcomeUnknown,
                 Effect::Unknown,
-                "the gate with the job's tasks stopped responding",
+                "a worker's gate is gone",
             );
             self.finish(now, id, answer);
         }
--- a/src/ephemeral/dispatcher/lag.rs
+++ b/src/ephemeral/dispatcher/lag.rs
@@ -44,7 +44,7 @@
 /// Maximum number of tasks admitted at once.
 const MAX_CREDIT_TASKS: f64 = 16.0;
 /// Reason for refusing a job.
-const ENTRY_BEHIND: &str = "the entry is overloaded";
+const ENTRY_BEHIND: &str = "the entry is behind";
 
 /// Recent waits or delays, each with the time at which it ended.
 #[derive(Debug, Default)]
--- a/src/ephemeral/dispatcher/losses.rs
+++ b/src/ephemeral/dispatcher/losses.rs
@@ -110,14 +110,11 @@
         let losses = self.losses.count(job, index);
         Some(match given_up.crash_confirmed {
             true => {
-                let why =
-                    format!("{losses} workers were lost while they had task {index} of the job");
+                let why = format!("{losses} workers were lost under its task {index}");
                 failed(ResultCode::TaskFailed, &why)
             }
             false => {
-                let why = format!(
-                    "{losses} workers may have been lost while they had task {index} of the job"
-                );
+                let why = format!("{losses} workers may have been lost under its task {index}");
                 Answer::failure(ResultCode::OutcomeUnknown, Effect::Unknown, &why)
             }
         })
--- a/src/ephemeral/dispatcher/mod.rs
+++ b/src/ephemeral/dispatcher/mod.rs
@@ -403,7 +403,7 @@
                 true => Answer::failure(
                     ResultCode::DeadlinePassed,
                     Effect::Unknown,
-                    "the job's deadline passed",
+                    "its deadline passed",
                 ),
                 false => self.expired_answer(id),
             };
@@ -420,7 +420,7 @@
                 job.patience_us(now.mono_us) == 0 && job.waiting_tasks().next().is_some()
             });
             if late {
-                self.give_up(now, id, "no worker has room in time");
+                self.give_up(now, id, "no room in time");
             }
         }
     }
@@ -428,9 +428,9 @@
     fn expired_answer(&self, id: JobId) -> Answer {
         let job = self.jobs.get(&id);
         if job.is_none_or(|job| job.is_untouched()) {
-            return refused("the job's deadline passed before it began", RETRY_AFTER_MS);
+            return refused("its deadline passed before it began", RETRY_AFTER_MS);
         }
-        let why = "the job's deadline passed";
+        let why = "its deadline passed";
         Answer::failure(ResultCode::DeadlinePassed, Effect::Unknown, why)
     }
 
--- a/src/ephemeral/dispatcher/progress.rs
+++ b/src/ephemeral/dispatcher/progress.rs
@@ -63,10 +63,7 @@
             RunEnd::Failed => {
                 task.failures += 1;
                 if task.failures >= route.attempts.max(1) {
-                    let answer = failed(
-                        ResultCode::TaskFailed,
-                        "a task of the job failed on all its attempts",
-                    );
+                    let answer = failed(ResultCode::TaskFailed, "a task failed too often");
                     self.finish(now, run.job, answer);
                     return;
                 }
@@ -77,7 +74,7 @@
                 task.runs = task.runs.saturating_add(step).min(MAX_RUN_NUMBER);
             }
             RunEnd::NotRun(NotRunReason::AlreadyHere) => {
-                let why = "another run of one of the job's tasks is still in progress";
+                let why = "another run of a task is not over";
                 let answer = Answer::failure(ResultCode::OutcomeUnknown, Effect::Unknown, why);
                 self.finish(now, run.job, answer);
                 return;
@@ -109,7 +106,7 @@
             .get(&id)
             .is_some_and(|job| job.patience_us(now.mono_us) == 0);
         if late {
-            self.give_up(now, id, "no time is left to run a task on another worker");
+            self.give_up(now, id, "no time is left to run it elsewhere");
             return;
         }
         self.requeue_deferred(now, id);
@@ -123,7 +120,7 @@
         };
         job.waiters.retain(|other| *other != waiter);
         if job.waiters.is_empty() {
-            let answer = refused("the job's caller disconnected", 0);
+            let answer = refused("its caller left", 0);
             self.finish(now, id, answer);
         }
     }
