--- a/src/ephemeral/dispatcher/admission.rs
+++ b/src/ephemeral/dispatcher/admission.rs
@@ -1,4 +1,5 @@
-//! Admission of jobs: a job is taken as a whole, and only if it can begin in time.
+//! Admission of jobs: a job is admitted as a whole, and only if all its tasks are expected
+//! to begin in time.
 //!
 //! A job that arrives while no gate takes work is parked for a short time, as gates usually
 //! reconnect within milliseconds.
@@ -26,16 +27,17 @@
 const MAX_RETRY_BASE_MS: u64 = 1_000;
 /// Weight of the caller's estimate against the recorded run time.
 const ESTIMATE_WEIGHT: f64 = 0.5;
-/// Share of a job's patience that the expected wait may take, for urgent jobs; the rest
-/// allows for errors of the estimate.
+/// Share of a job's patience, the time that its tasks may wait at gates, that the expected
+/// wait may take for urgent jobs; the rest allows for errors of the estimate.
 const URGENT_ADMIT_SHARE: f64 = 0.85;
 /// The same for other jobs when there is no congestion.
 const ADMIT_SHARE: f64 = 0.6;
 /// The same for other jobs at full congestion.
 const CONGESTED_ADMIT_SHARE: f64 = 0.2;
-/// Share of a job's patience that it may wait at gates if it can also wait in the entry.
+/// The same for other jobs without congestion if deferral is on, as they can then also wait
+/// in the entry.
 const QUEUE_SHARE: f64 = 0.1;
-/// The same for urgent jobs at full congestion; they overtake other jobs at gates.
+/// The same for urgent jobs at full congestion if deferral is on.
 const URGENT_QUEUE_SHARE: f64 = 0.4;
 /// Share of its objective for which a job is parked; the rest lets its caller try
 /// elsewhere.
@@ -126,7 +128,8 @@
         Ok(())
     }
 
-    /// Denies a job that is surplus.
+    /// Denies an otherwise admitted job that is surplus, as its route exceeds its fair
+    /// share.
     fn deny_surplus(
         &mut self,
         now: Moment,
@@ -147,7 +150,7 @@
     }
 
     /// Retry delay for the caller of a refused job: the expected wait of the deferred jobs
-    /// that go first, with jitter so that refused callers do not return at once.
+    /// that go first, with jitter so that refused callers do not retry at the same time.
     pub(super) fn retry_after_ms(&mut self, now: Moment, job: &Job) -> u64 {
         if !self.scheduling.deferral {
             return RETRY_AFTER_MS;
@@ -195,8 +198,8 @@
         }
     }
 
-    /// Whether the fleet can run the task, from the gates' records and from open sessions,
-    /// which are more recent.
+    /// Whether the fleet can run a task, judged from the gates' records and from open
+    /// sessions, which are more recent.
     fn feasibility(&self, request: &PlacementRequest<'_>) -> Feasibility {
         let mut workers = self.gates.values().filter_map(GateView::worker);
         match self.subset.feasibility(request) {
@@ -257,7 +260,8 @@
         })
     }
 
-    /// Reports to the subset how much processor time open jobs of the same kinds need.
+    /// Reports to the subset how much processor time open jobs of the same kinds need,
+    /// including this one.
     fn update_gate_demand(&mut self, now: Moment, job: &Job) {
         for kind in &job.kinds {
             let same_kind = |other: &&Job| other.kinds.contains(kind);
@@ -271,6 +275,7 @@
         }
     }
 
+    /// Expected run time of a task, from the caller's estimate and the recorded runs.
     fn expected_us(&self, spec: &JobSpec, route: &Route) -> u64 {
         let median_us = match self.scheduling.worker_speeds {
             true => self.run_spreads.median_us(route),
@@ -279,11 +284,11 @@
         let mean_us = || self.run_times.mean_us(&route.service, &route.name);
         match (spec.estimate_us, median_us.or_else(mean_us)) {
             (0, None) => self.typical_run.us(),
-            (0, Some(mean_us)) => mean_us,
+            (0, Some(recorded_us)) => recorded_us,
             (estimate_us, None) => estimate_us,
-            (estimate_us, Some(mean_us)) => {
-                let blend =
-                    estimate_us as f64 * ESTIMATE_WEIGHT + mean_us as f64 * (1.0 - ESTIMATE_WEIGHT);
+            (estimate_us, Some(recorded_us)) => {
+                let blend = estimate_us as f64 * ESTIMATE_WEIGHT
+                    + recorded_us as f64 * (1.0 - ESTIMATE_WEIGHT);
                 blend as u64
             }
         }
@@ -376,7 +381,7 @@
         self.jobs.insert(id, job);
         match admitted {
             Ok(()) => return true,
-            // Gates reconnect one by one, so the first ones may have too little room.
+            // Gates reconnect one by one; those still missing may have room.
             Err(_) if !overdue => {}
             Err(Denial::NoGate) => {
                 let answer = refused("no worker is known", NO_WORKER_RETRY_AFTER_MS);
@@ -389,7 +394,7 @@
     }
 }
 
-/// Resources for `tasks` tasks, limited to what the worker holds beside one more task.
+/// Resources for `tasks` tasks, limited so that one more task still fits on the worker.
 fn headroom_at(gate: &GateView, needs: &Resources, tasks: f64) -> Resources {
     let capacity = gate.worker().map_or(0, |worker| worker.capacity.cpu_milli);
     let wanted = (needs.cpu_milli as f64 * tasks) as u64;
--- a/src/ephemeral/dispatcher/caller_waits.rs
+++ b/src/ephemeral/dispatcher/caller_waits.rs
@@ -1,7 +1,7 @@
-//! Detects resent jobs by their callers' waits.
+//! Detects resent jobs by how long their callers are going to wait.
 //!
 //! A caller that submits a job again waits for less time than is usual for its route. The
-//! objective of such a job is past, so other jobs go first where room is short.
+//! objective of such a job has passed, so other jobs go first when room is short.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -14,7 +14,7 @@
 /// lasting change.
 const RESEND_WEIGHT: f64 = 0.02;
 
-/// Usual waits by route.
+/// Usual waits of callers, by route.
 #[derive(Debug, Default)]
 pub(super) struct CallerWaits {
     usual_us: HashMap<Arc<str>, f64>,
--- a/src/ephemeral/dispatcher/config.rs
+++ b/src/ephemeral/dispatcher/config.rs
@@ -42,7 +42,7 @@
 struct Fetch {
     version: u64,
     text: BytesMut,
-    asked_us: u64,
+    requested_us: u64,
 }
 
 impl Configs {
@@ -76,22 +76,22 @@
 
 impl NewerVersion {
     /// Whether a part should be requested, or requested again from another gate.
-    fn is_due(&self, now: Moment, silence: Duration) -> bool {
+    fn is_due(&self, now: Moment, answer_timeout: Duration) -> bool {
         match &self.fetch {
             None => now.mono_us >= self.since_us + micros(STORE_GRACE_PERIOD),
-            Some(fetch) => now.mono_us >= fetch.asked_us + micros(silence),
+            Some(fetch) => now.mono_us >= fetch.requested_us + micros(answer_timeout),
         }
     }
 
-    /// Next part to request.
-    fn wanted(&mut self, now: Moment) -> ConfigPartRequest {
+    /// Returns the request for the next part and notes its time.
+    fn next_request(&mut self, now: Moment) -> ConfigPartRequest {
         let version = self.version;
         let fetch = self.fetch.get_or_insert(Fetch {
             version,
             text: BytesMut::new(),
-            asked_us: 0,
+            requested_us: 0,
         });
-        fetch.asked_us = now.mono_us;
+        fetch.requested_us = now.mono_us;
         ConfigPartRequest {
             version: fetch.version,
             offset: fetch.text.len() as u64,
@@ -100,8 +100,9 @@
 }
 
 impl Fetch {
-    /// Appends a part if it is the next one. The first part of a newer version starts over.
-    fn take(&mut self, part: &ConfigPart) -> bool {
+    /// Appends a part if it is the next one, and returns whether it was. The first part of
+    /// a newer version starts over.
+    fn append(&mut self, part: &ConfigPart) -> bool {
         if part.version > self.version && part.offset == 0 {
             self.version = part.version;
             self.text.clear();
@@ -139,17 +140,17 @@
 
     /// Requests a newer configuration that the store did not deliver in time.
     pub(super) fn fetch_config(&mut self, now: Moment) {
-        let silence = self.limits.peer_timeout;
+        let answer_timeout = self.limits.peer_timeout;
         let Some(newer) = &mut self.configs.newer else {
             return;
         };
-        if !newer.is_due(now, silence) {
+        if !newer.is_due(now, answer_timeout) {
             return;
         }
         let holders = self
             .gates
             .iter()
-            .filter(|(_, gate)| gate.config >= newer.version && !gate.quiet);
+            .filter(|(_, gate)| gate.config >= newer.version && !gate.overdue);
         let holders: Vec<(&Arc<str>, SessionId)> = holders
             .filter_map(|(name, gate)| Some((name, gate.session?)))
             .collect();
@@ -160,7 +161,7 @@
         let index = self.process_id.incarnation.wrapping_add(newer.tries) % holders.len() as u64;
         let (name, session) = holders[index as usize];
         newer.tries += 1;
-        let wanted = newer.wanted(now);
+        let wanted = newer.next_request(now);
         info!(self.log, "requested a configuration part"; "version" => wanted.version,
             "offset" => wanted.offset, "gate" => &**name, "tries" => newer.tries,
             "behind_us" => now.mono_us - newer.since_us);
@@ -181,7 +182,7 @@
         let Some(fetch) = &mut newer.fetch else {
             return;
         };
-        if !fetch.take(part) {
+        if !fetch.append(part) {
             return;
         }
         if fetch.text.len() as u64 >= part.total {
@@ -193,7 +194,7 @@
             self.actions.push(DispatchAction::ConfigReceived(document));
             return;
         }
-        let message = ToGate::WantConfig(newer.wanted(now));
+        let message = ToGate::WantConfig(newer.next_request(now));
         self.actions.push(DispatchAction::Send { session, message });
     }
 
--- a/src/ephemeral/dispatcher/congestion.rs
+++ b/src/ephemeral/dispatcher/congestion.rs
@@ -1,9 +1,9 @@
 //! Congestion level: whether workers are full for a moment or persistently.
 //!
-//! A short burst is best waited out, but in persistent congestion each job that waits
-//! delays the next one. Admission therefore lowers the wait that it allows as the level
-//! rises. The level follows the expected waits of recent jobs. It is kept by priority, as
-//! less urgent jobs do not delay more urgent ones.
+//! Waiting is worthwhile during a short burst, but in persistent congestion each job that
+//! waits delays the next one. Admission therefore allows shorter waits as the level rises.
+//! The level follows the expected waits of recent jobs. It is kept by priority, as less
+//! urgent jobs do not delay more urgent ones.
 
 use std::collections::BTreeMap;
 
@@ -15,7 +15,7 @@
 /// Average wait, as a share of patience, at which the level is 1.
 const FULL_LEVEL_WAIT: f64 = 0.35;
 /// Limit of the elapsed time that one job accounts for, in time constants.
-const MAX_SAMPLE_WEIGHT: f64 = 0.25;
+const MAX_SAMPLE_TIME: f64 = 0.25;
 
 /// Average expected wait of recent jobs.
 #[derive(Clone, Copy, Debug, Default)]
@@ -32,7 +32,7 @@
         let elapsed = self.elapsed(now, typical_us);
         self.at_us = now.mono_us;
         // After a pause, a single job must not raise the level to its own wait.
-        let added = 1.0 - (-elapsed).max(-MAX_SAMPLE_WEIGHT).exp();
+        let added = 1.0 - (-elapsed).max(-MAX_SAMPLE_TIME).exp();
         self.wait = (-elapsed).exp() * self.wait + added * wait.min(1.0);
     }
 
--- a/src/ephemeral/dispatcher/deferral.rs
+++ b/src/ephemeral/dispatcher/deferral.rs
@@ -3,8 +3,8 @@
 //! A deferred job is at no gate, so it delays no other job there. Its tasks are sent once
 //! all of them find spare room, and return at once if that room is taken. Jobs that can
 //! still meet their objective go first; the others must leave some room free. A job is held
-//! for part of its caller's waiting time and then refused. It is refused at once if recent
-//! jobs of its class have not been served.
+//! for part of its caller's waiting time and then refused. It is refused at once if its
+//! class is served too slowly for the job to find room in that time.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::time::Duration;
@@ -30,8 +30,8 @@
 /// again.
 const MIN_HELD_JOBS: usize = 1;
 
-/// Headroom in tasks kept free beside a job that misses its objective, where gates keep
-/// none.
+/// Headroom, in tasks, kept free beside a job that is surplus or misses its objective, if
+/// gates do not keep headroom themselves.
 const LATE_JOB_HEADROOM_TASKS: f64 = 2.0;
 
 /// Position in the queue of deferred jobs. Jobs that have begun go first, as their work
@@ -76,7 +76,7 @@
         self.served_per_s = expected + (self.served_per_s - expected) * kept;
     }
 
-    fn work(&self) -> f64 {
+    fn held_work(&self) -> f64 {
         self.held.values().sum()
     }
 
@@ -90,7 +90,7 @@
 /// Queue of deferred jobs, with the rates at which their classes are served.
 #[derive(Debug, Default)]
 pub(super) struct Deferral {
-    backlog: BTreeSet<QueuePosition>,
+    queue: BTreeSet<QueuePosition>,
     positions: HashMap<JobId, QueuePosition>,
     classes: BTreeMap<ClassKey, Class>,
 }
@@ -102,7 +102,8 @@
         class
     }
 
-    /// Counts the work of a requested job.
+    /// Counts the work of a requested job, which may be held before or after it misses its
+    /// objective.
     fn add_request(&mut self, now: Moment, priority: Priority, job: &Job) {
         for misses_objective in [false, true] {
             let class = self.class(now, (priority, misses_objective));
@@ -114,20 +115,20 @@
     fn expects_room(&mut self, now: Moment, key: ClassKey, job: &Job, hold_us: u64) -> bool {
         let class = self.class(now, key);
         let max_work = class.served_per_s * hold_us as f64 / 1e6;
-        class.held.len() < MIN_HELD_JOBS || class.work() + job.work_us() <= max_work
+        class.held.len() < MIN_HELD_JOBS || class.held_work() + job.work_us() <= max_work
     }
 
     /// Adds a job to the queue, or moves it to a new position.
     fn enqueue(&mut self, position: QueuePosition) {
         if let Some(before) = self.positions.insert(position.job, position) {
-            self.backlog.remove(&before);
+            self.queue.remove(&before);
         }
-        self.backlog.insert(position);
+        self.queue.insert(position);
     }
 
     fn remove(&mut self, job: JobId) {
         if let Some(position) = self.positions.remove(&job) {
-            self.backlog.remove(&position);
+            self.queue.remove(&position);
         }
     }
 
@@ -159,7 +160,7 @@
         let classes = self.classes.range_mut(..=(priority, true));
         let (held, served) = classes.fold((0.0, 0.0), |(held, served), (_, class)| {
             class.decay(now);
-            (held + class.work(), served + class.served_per_s)
+            (held + class.held_work(), served + class.served_per_s)
         });
         match held > 0.0 {
             true => held / served.max(f64::MIN_POSITIVE) * 1e6,
@@ -169,12 +170,12 @@
 
     /// Number of queued jobs.
     pub fn len(&self) -> usize {
-        self.backlog.len()
+        self.queue.len()
     }
 
     /// Whether no job is queued.
     pub fn is_empty(&self) -> bool {
-        self.backlog.is_empty()
+        self.queue.is_empty()
     }
 }
 
@@ -250,7 +251,7 @@
             "deferred" => self.deferral.len());
         let position = self.queue_position(now, job);
         self.deferral.enqueue(position);
-        self.dirty = true;
+        self.placement_due = true;
         let class = self.deferral.class(now, self.class_key(now, job));
         class.held.insert(position.job, job.work_us());
     }
@@ -265,7 +266,7 @@
 
     /// Sends the first queued jobs whose tasks all find spare room.
     pub(super) fn place_deferred(&mut self, now: Moment) {
-        let positions = self.deferral.backlog.iter().take(MAX_TRIED_JOBS);
+        let positions = self.deferral.queue.iter().take(MAX_TRIED_JOBS);
         let candidates: Vec<QueuePosition> = positions.copied().collect();
         for position in candidates {
             let Some(job) = self.jobs.remove(&position.job) else {
@@ -307,7 +308,7 @@
     /// Gives up queued jobs whose hold time is over, and begun ones with a task that can no
     /// longer begin in time.
     pub(super) fn end_unserved_deferred(&mut self, now: Moment) {
-        let positions = self.deferral.backlog.iter();
+        let positions = self.deferral.queue.iter();
         let jobs = positions.filter_map(|position| self.jobs.get(&position.job));
         let overdue = jobs.filter(|job| match job.is_untouched() {
             true => job.deferred_until_us.is_some_and(|us| us <= now.mono_us),
@@ -323,7 +324,7 @@
 
     /// Reassesses queued jobs that have just missed their objective.
     fn reassess_late(&mut self, now: Moment) {
-        let positions = self.deferral.backlog.iter();
+        let positions = self.deferral.queue.iter();
         let late = positions
             .filter(|position| !position.misses_objective && position.due_us <= now.mono_us);
         let late: Vec<JobId> = late.map(|position| position.job).collect();
--- a/src/ephemeral/dispatcher/fair_shares.rs
+++ b/src/ephemeral/dispatcher/fair_shares.rs
@@ -1,8 +1,9 @@
 //! Fair shares: detects routes whose demand exceeds its usual rate.
 //!
 //! Each route has a token bucket that fills at its average demand outside congestion.
-//! During congestion a job without tokens is surplus and only gets spare room. While the
-//! usual demand is unknown, no job is surplus. Jobs of the most urgent priority never are.
+//! During congestion a job is surplus if the bucket holds too few tokens for it; it then
+//! only gets spare room. While the usual demand is unknown, no job is surplus. Jobs of the
+//! most urgent priority never are.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -52,7 +53,7 @@
         let elapsed_us = (now.mono_us - since_us).min(micros(MAX_PAUSE)) as f64;
         self.at_us = now.mono_us;
         if !congested {
-            self.learn(elapsed_us, work);
+            self.update_usual(elapsed_us, work);
         }
         let depth = (self.usual_per_us * micros(BUCKET_DEPTH) as f64).max(work * MIN_BUCKET_JOBS);
         self.tokens = (self.tokens + self.usual_per_us * RATE_ALLOWANCE * elapsed_us).min(depth);
@@ -63,7 +64,7 @@
         within || self.calm_us < micros(MIN_CALM) as f64
     }
 
-    fn learn(&mut self, elapsed_us: f64, work: f64) {
+    fn update_usual(&mut self, elapsed_us: f64, work: f64) {
         let window_us = micros(DEMAND_WINDOW) as f64;
         self.calm_us = (self.calm_us + elapsed_us).min(window_us);
         let weight = (elapsed_us / self.calm_us.max(1.0)).min(1.0);
--- a/src/ephemeral/dispatcher/gates.rs
+++ b/src/ephemeral/dispatcher/gates.rs
@@ -17,9 +17,9 @@
 use crate::time::{Moment, micros};
 
 /// Interval between runs that probe a suspect worker.
-pub(super) const PROBE_PAUSE: Duration = Duration::from_secs(1);
+pub(super) const PROBE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Interval between two ticks after which frames may have been left unread.
+/// Interval between two ticks above which the process may have left frames unread.
 const MAX_TICK_INTERVAL: Duration = Duration::from_millis(30);
 
 impl Dispatcher {
@@ -71,7 +71,8 @@
         open
     }
 
-    /// Handles the end of a session. The gate is kept until the silence limit.
+    /// Handles the end of a session. The gate is kept until it has been silent for too
+    /// long.
     pub fn disconnected(&mut self, session: SessionId) {
         let Some(GateSession { gate: name, .. }) = self.sessions.remove(&session) else {
             return;
@@ -114,7 +115,7 @@
                     gate.update_load(now, load);
                 }
                 self.update_open_gate_since(now);
-                self.dirty |= !self.backlog.is_empty() || !self.deferral.is_empty();
+                self.placement_due |= !self.backlog.is_empty() || !self.deferral.is_empty();
             }
             ToEntry::Losses(losses) => self.record_losses(now, &losses),
             ToEntry::Began { run } => self.run_began(now, run),
@@ -146,7 +147,7 @@
         }
         self.stop_stale_claims(name, session, &claimed);
         self.record_gate_config(now, name, config);
-        // A configuration was applied between the hello and its answer.
+        // A configuration may have been applied between the hello and its answer.
         if self.configs.version() > config {
             let message = ToGate::ConfigVersion(self.configs.version());
             self.actions.push(DispatchAction::Send { session, message });
@@ -167,7 +168,7 @@
         self.actions.extend(stops);
     }
 
-    /// Updates since when at least one gate has taken work.
+    /// Updates the time since which at least one gate has taken work.
     fn update_open_gate_since(&mut self, now: Moment) {
         if self.open_gates() == 0 {
             self.open_gate_since_us = None;
@@ -191,15 +192,15 @@
         }
     }
 
-    /// Requests a second connection to each gate whose frames are overdue, so that jobs
-    /// there survive a dead connection.
-    pub(super) fn redial_quiet_gates(&mut self, now: Moment) {
+    /// Requests a second connection to each gate whose frames or acknowledgements are
+    /// overdue, so that jobs there survive a dead connection.
+    pub(super) fn redial_overdue_gates(&mut self, now: Moment) {
         self.record_tick(now);
         let (limits, reading_since_us) = (&self.limits, self.reading_since_us);
         for (name, gate) in &mut self.gates {
-            let before = gate.quiet;
-            gate.quiet = gate.is_overdue(now, limits, reading_since_us);
-            if !gate.quiet {
+            let before = gate.overdue;
+            gate.overdue = gate.is_overdue(now, limits, reading_since_us);
+            if !gate.overdue {
                 continue;
             }
             if !before {
@@ -210,8 +211,8 @@
         }
     }
 
-    /// Restarts the reading period after a suspension: unread frames are no sign of a
-    /// silent gate.
+    /// Restarts the reading period after a suspension, as frames left unread do not show
+    /// that a gate is silent.
     fn record_tick(&mut self, now: Moment) {
         if now.mono_us > self.last_tick_us + micros(MAX_TICK_INTERVAL) {
             self.reading_since_us = now.mono_us;
@@ -221,7 +222,7 @@
 
     fn drop_gate(&mut self, now: Moment, name: &Arc<str>) {
         if let Some(worker) = self.gates.get(name).and_then(GateView::worker).cloned() {
-            self.record_left_behind(now, name, &worker.id);
+            self.record_orphaned_tasks(now, name, &worker.id);
         }
         let Some(gate) = self.gates.remove(name) else {
             return;
@@ -305,11 +306,11 @@
         for (session, gate_session) in &mut self.sessions {
             let gate = self.gates.get(&gate_session.gate);
             let busy = gate.is_some_and(|gate| gate.is_busy(now, self.limits.linger));
-            let pause = match busy {
+            let interval = match busy {
                 true => self.limits.heartbeat_interval,
                 false => self.limits.idle_heartbeat_interval,
             };
-            if now.mono_us < gate_session.sent_us + micros(pause) {
+            if now.mono_us < gate_session.sent_us + micros(interval) {
                 continue;
             }
             gate_session.sent_us = now.mono_us;
@@ -320,6 +321,7 @@
         }
     }
 
+    /// Removes a run that is no longer at a gate.
     pub(super) fn run_left_gate(&mut self, now: Moment, name: &Arc<str>, run: RunId, end: RunEnd) {
         let Some(gate) = self.gates.get_mut(name) else {
             return;
--- a/src/ephemeral/dispatcher/job.rs
+++ b/src/ephemeral/dispatcher/job.rs
@@ -59,7 +59,7 @@
     pub spread: Option<Arc<RunSpread>>,
     /// When the caller stops waiting.
     pub deadline_us: u64,
-    /// Whether the caller seems to have sent it before, so that its objective is past.
+    /// Whether the caller seems to have sent it before, so that its objective has passed.
     pub is_resend: bool,
     /// Whether its route exceeds its usual demand while room is short.
     pub surplus: bool,
@@ -121,8 +121,8 @@
         until_us.saturating_sub(now_us + MESSAGE_OVERHEAD_US)
     }
 
-    /// Time left of the objective's fixed part, in microseconds; negative if it is
-    /// exceeded.
+    /// Slack of the objective that is left after the time since arrival, in microseconds;
+    /// may be negative.
     pub fn slack_left_us(&self, now_us: u64) -> f64 {
         let spent_us = now_us.saturating_sub(self.arrived_us) + MESSAGE_OVERHEAD_US;
         self.route.slack_us as f64 - spent_us as f64
--- a/src/ephemeral/dispatcher/losses.rs
+++ b/src/ephemeral/dispatcher/losses.rs
@@ -1,7 +1,8 @@
-//! Worker losses: gives up jobs with a task under which several workers were lost.
+//! Worker losses: gives up jobs with a task that several workers had when they were lost.
 //!
-//! A gate reports the tasks that its worker was lost under. If the gate is lost as well,
-//! the entry that sent the tasks reports them once the next gate there has another worker.
+//! A gate reports the tasks that its worker had when it was lost. If the gate is lost as
+//! well, the entry that sent the tasks reports them once a new gate of that name has
+//! another worker.
 
 use std::collections::HashSet;
 use std::sync::Arc;
@@ -39,7 +40,12 @@
     }
 
     /// Remembers the open runs of a lost gate.
-    pub(super) fn record_left_behind(&mut self, now: Moment, name: &Arc<str>, worker: &WorkerId) {
+    pub(super) fn record_orphaned_tasks(
+        &mut self,
+        now: Moment,
+        name: &Arc<str>,
+        worker: &WorkerId,
+    ) {
         let open_runs = self.open_runs(name);
         if open_runs.is_empty() {
             return;
@@ -51,20 +57,20 @@
             likely: false,
             ran: false,
         });
-        let left_behind = OrphanedTasks {
+        let orphaned_tasks = OrphanedTasks {
             at_us: now.mono_us,
             losses: losses.collect(),
         };
-        self.left_behind.insert(name.clone(), left_behind);
+        self.orphaned_tasks.insert(name.clone(), orphaned_tasks);
     }
 
-    /// Compares a gate's worker with the one before the gate was lost. If it is another
-    /// one, the earlier worker and its runs are lost.
+    /// Compares the worker of a gate that returned with its worker before. If they differ,
+    /// the earlier worker and its runs are lost.
     pub(super) fn check_lost_worker(&mut self, now: Moment, name: &Arc<str>, worker: &WorkerId) {
-        let Some(left_behind) = self.left_behind.remove(name) else {
+        let Some(orphaned_tasks) = self.orphaned_tasks.remove(name) else {
             return;
         };
-        let lost = left_behind
+        let lost = orphaned_tasks
             .losses
             .into_iter()
             .filter(|loss| loss.worker != *worker);
@@ -82,16 +88,16 @@
     }
 
     /// Forgets gates that did not return.
-    pub(super) fn forget_left_behind(&mut self, now: Moment) {
-        self.left_behind
-            .retain(|_, left_behind| !left_behind.is_expired(now));
+    pub(super) fn evict_orphaned_tasks(&mut self, now: Moment) {
+        self.orphaned_tasks
+            .retain(|_, orphaned_tasks| !orphaned_tasks.is_expired(now));
     }
 
-    /// Gates that have a task of this entry under which a worker was lost; empty unless
-    /// that is so of task `index` of `job` too.
+    /// Gates with an implicated task, one that a lost worker had; empty if task `index` of
+    /// `job` is not implicated itself.
     ///
-    /// Tasks of a lost worker are placed again at the same time. On one worker, the task
-    /// that crashes workers would implicate the others again.
+    /// Implicated tasks are kept on separate workers, so that a task that crashes its
+    /// worker does not implicate the others again.
     pub(super) fn gates_with_implicated(&self, job: &Job, index: u32) -> HashSet<Arc<str>> {
         let implicated = |job: JobId, index: u32| self.losses.count(job, index) > 0;
         if !implicated(job.spec.id, index) {
@@ -99,16 +105,16 @@
         }
         let open = self.jobs.values().chain(std::iter::once(job));
         let placed = open.flat_map(Job::placed_runs);
-        let there = placed.filter(|(_, run)| implicated(run.job, run.index));
-        there.map(|(gate, _)| gate.clone()).collect()
+        let placed_implicated = placed.filter(|(_, run)| implicated(run.job, run.index));
+        placed_implicated.map(|(gate, _)| gate.clone()).collect()
     }
 
     /// Answer for a job that is given up because of worker losses.
     pub(super) fn answer_for_losses(&self, job: JobId) -> Option<Answer> {
-        let given_up = self.losses.abandoned_task(job)?;
-        let index = given_up.index;
+        let abandoned = self.losses.abandoned_task(job)?;
+        let index = abandoned.index;
         let losses = self.losses.count(job, index);
-        Some(match given_up.crash_confirmed {
+        Some(match abandoned.crash_confirmed {
             true => {
                 let why = format!("{losses} workers were lost under its task {index}");
                 failed(ResultCode::TaskFailed, &why)
--- a/src/ephemeral/dispatcher/mod.rs
+++ b/src/ephemeral/dispatcher/mod.rs
@@ -59,10 +59,9 @@
 const MAX_CAPACITY_REJECTIONS: u32 = 3;
 /// Times that a slow task is stopped and moved to another gate.
 const MAX_MOVES: u32 = 1;
-/// How long a task waits at a gate, as a multiple of the expected wait.
+/// How long a task may wait at a gate, as a multiple of the expected wait.
 const WAIT_LIMIT_FACTOR: f64 = 1.5;
-/// Wait at a gate that is allowed beyond the expected wait, in microseconds; several round
-/// trips.
+/// Added to the wait that a gate allows, in microseconds; several round trips.
 const MIN_WAIT_LIMIT_US: u64 = 10_000;
 /// Minimum increase of the run number after a worker rejected it as too low.
 const MIN_RUN_NUMBER_STEP: u32 = 16;
@@ -119,22 +118,26 @@
     limits: Limits,
     log: Logger,
     gates: BTreeMap<Arc<str>, GateView>,
-    /// Since when at least one gate has taken work.
+    /// Time since which at least one gate has taken work.
     open_gate_since_us: Option<u64>,
     sessions: HashMap<SessionId, GateSession>,
     subset: Subset,
     /// Time of the last tick.
     last_tick_us: u64,
-    /// Since when frames have been read without interruption.
+    /// Time since which frames have been read without interruption.
     reading_since_us: u64,
     jobs: HashMap<JobId, Job>,
+    /// Jobs with tasks to place, by the latest begin for their objective.
     backlog: BTreeSet<(u64, JobId)>,
+    /// Open jobs by deadline.
     deadlines: BTreeSet<(u64, JobId)>,
     finished: HashMap<JobId, FinishedJob>,
+    /// Finished jobs with the time of their end, oldest first.
     finished_order: VecDeque<(u64, JobId)>,
     losses: LossLog,
-    /// By the name of the lost gate.
-    left_behind: HashMap<Arc<str>, OrphanedTasks>,
+    /// Tasks at lost gates, by the name of the gate.
+    orphaned_tasks: HashMap<Arc<str>, OrphanedTasks>,
+    /// When each suspect gate may be probed again.
     probes: HashMap<Arc<str>, u64>,
     congestion: CongestionByPriority,
     deferral: Deferral,
@@ -149,7 +152,8 @@
     scheduling: Scheduling,
     lag: Lag,
     actions: Vec<DispatchAction>,
-    dirty: bool,
+    /// Whether waiting tasks are to be placed before the next actions are returned.
+    placement_due: bool,
 }
 
 impl Dispatcher {
@@ -174,7 +178,7 @@
             finished: HashMap::new(),
             finished_order: VecDeque::new(),
             losses: LossLog::default(),
-            left_behind: HashMap::new(),
+            orphaned_tasks: HashMap::new(),
             probes: HashMap::new(),
             congestion: CongestionByPriority::default(),
             deferral: Deferral::default(),
@@ -187,7 +191,7 @@
             scheduling: Scheduling::default(),
             lag: Lag::default(),
             actions: Vec::new(),
-            dirty: false,
+            placement_due: false,
         }
     }
 
@@ -198,8 +202,8 @@
 
     /// Places waiting tasks and returns the actions since the last call.
     pub fn take_actions(&mut self, now: Moment) -> Vec<DispatchAction> {
-        if self.dirty {
-            self.dirty = false;
+        if self.placement_due {
+            self.placement_due = false;
             self.place_backlog(now);
             self.place_deferred(now);
         }
@@ -258,7 +262,7 @@
             return false;
         };
         if self.gates[&choice.gate].load.suspect {
-            let next_us = now.mono_us + micros(gates::PROBE_PAUSE);
+            let next_us = now.mono_us + micros(gates::PROBE_INTERVAL);
             self.probes.insert(choice.gate.clone(), next_us);
         }
         let Some(job) = self.jobs.get_mut(&id) else {
@@ -273,9 +277,9 @@
             return false;
         }
         let task = &mut job.tasks[index as usize];
-        // Implicated tasks are kept apart. A gate that rejected the task before is chosen
-        // again only if there is no other; there the restriction is lifted, or the task
-        // would never start.
+        // A gate accepts only one implicated task at a time. A gate that the task avoids is
+        // chosen only if there is no other; the limit is lifted there, or the task would
+        // never start.
         let implicated =
             self.losses.count(id, index) > 0 && !task.avoided_gates.contains(&choice.gate);
         task.runs += 1;
@@ -335,7 +339,7 @@
             |name: &Arc<str>| probes.get(name).is_none_or(|at_us| *at_us <= now.mono_us);
         let allowed = |(name, gate): &(&Arc<str>, &GateView)| {
             gate.is_open()
-                && !gate.quiet
+                && !gate.overdue
                 && (!gate.load.suspect || !exclude_suspects || probe_due(name))
                 && !at_task_limit(name)
         };
@@ -386,12 +390,12 @@
         self.end_unserved_deferred(now);
         self.drop_silent_gates(now);
         self.close_surplus_sessions(now);
-        self.redial_quiet_gates(now);
+        self.redial_overdue_gates(now);
         self.fetch_config(now);
         self.evict_finished(now);
         self.losses.evict_expired(now);
-        self.forget_left_behind(now);
-        self.dirty |= !self.backlog.is_empty() || !self.deferral.is_empty();
+        self.evict_orphaned_tasks(now);
+        self.placement_due |= !self.backlog.is_empty() || !self.deferral.is_empty();
     }
 
     fn end_expired(&mut self, now: Moment) {
@@ -521,8 +525,8 @@
     }
 }
 
-/// How long a task may wait at a gate, in microseconds. Where room was expected, it does
-/// not wait but goes to another gate.
+/// How long a task may wait at a gate, in microseconds. If room was expected, a gate
+/// without room returns the task at once, until it has been rejected too often.
 fn gate_wait_limit_us(choice: &Choice, capacity_rejections: u32) -> u64 {
     match choice.wait_us == 0 && capacity_rejections < MAX_CAPACITY_REJECTIONS {
         true => 0,
--- a/src/ephemeral/placement.rs
+++ b/src/ephemeral/placement.rs
@@ -42,7 +42,8 @@
 /// Factor on the run time when the chance of a miss is computed, as worker speeds are
 /// uncertain.
 const RUN_TIME_MARGIN: f64 = 1.1;
-/// Expected wait at a gate that rejected a start against its load, in typical run times.
+/// Expected wait at a gate that rejected a start although its load showed room, in typical
+/// run times.
 const FULL_GATE_WAIT: f64 = 0.125;
 /// Factor on the run time of a task away from its data.
 const DEFAULT_REMOTE_DATA_FACTOR: f64 = 1.5;
@@ -75,7 +76,7 @@
     pub starts_sent: u64,
     /// Runs of open jobs at the gate.
     open_runs: HashSet<RunId>,
-    /// When the first of the open runs was sent, or of the previous ones if there are none.
+    /// When a start was last sent while no run was open.
     busy_since_us: u64,
     /// When the last run at the gate ended.
     busy_until_us: u64,
@@ -85,8 +86,8 @@
     acknowledgement_times: AnswerTimes,
     /// When the connection of the current or upcoming session was opened.
     connected_us: u64,
-    /// Whether frames are overdue; no task is placed there then.
-    pub quiet: bool,
+    /// Whether frames or acknowledgements are overdue; no task is placed there then.
+    pub overdue: bool,
     /// Processor time reserved for tasks of a tentative placement.
     reserved_cpu_milli: u64,
 }
@@ -108,7 +109,7 @@
             unacknowledged: VecDeque::new(),
             acknowledgement_times: AnswerTimes::default(),
             connected_us: now_us,
-            quiet: false,
+            overdue: false,
             reserved_cpu_milli: 0,
         }
     }
@@ -118,7 +119,7 @@
         self.starts_sent = 0;
         self.unacknowledged.clear();
         self.connected_us = now.mono_us;
-        self.quiet = false;
+        self.overdue = false;
     }
 
     /// Stores a reported load and drops the starts that it acknowledges.
@@ -160,7 +161,7 @@
     }
 
     /// Whether the gate is expected to send heartbeats at the interval of a session with
-    /// work. The gate keeps that interval for longer.
+    /// work. The gate keeps that interval for the whole linger time, so half of it is safe.
     fn has_fast_heartbeats(&self, now: Moment, limits: &Limits) -> bool {
         self.is_busy(now, limits.linger / 2)
     }
@@ -175,21 +176,21 @@
         now.mono_us > self.last_frame_us.max(self.busy_since_us) + micros(silence)
     }
 
-    /// Whether a frame or an acknowledgement is overdue. Time counts from
-    /// `reading_since_us` at the earliest, since when this process has read frames.
-    pub fn is_overdue(&self, now: Moment, limits: &Limits, listening_us: u64) -> bool {
-        let quiet = match self.has_fast_heartbeats(now, limits) {
+    /// Whether a frame or an acknowledgement is overdue. This process has read frames
+    /// without interruption since `reading_since_us`; earlier silence does not count.
+    pub fn is_overdue(&self, now: Moment, limits: &Limits, reading_since_us: u64) -> bool {
+        let frame_timeout = match self.has_fast_heartbeats(now, limits) {
             true => limits.reconnect_after,
             false => limits.idle_heartbeat_interval + limits.reconnect_after,
         };
-        let since_us = listening_us.max(self.connected_us);
+        let since_us = reading_since_us.max(self.connected_us);
         let last_frame_us = self.last_frame_us.max(since_us).max(self.busy_since_us);
         let start = self.unacknowledged.front();
         let start_due_us = start.map(|start| start.sent_us.max(since_us));
         let start_late = start_due_us.is_some_and(|sent_us| {
             now.mono_us > sent_us + micros(self.acknowledgement_times.timeout())
         });
-        start_late || now.mono_us > last_frame_us + micros(quiet)
+        start_late || now.mono_us > last_frame_us + micros(frame_timeout)
     }
 
     /// Reserves resources for a tentative placement.
@@ -297,9 +298,10 @@
     pub spread: &'a RunSpread,
     /// Number of tasks of the job.
     pub tasks: u32,
-    /// Factor on the longest task in the objective.
+    /// Objective as a multiple of the longest task's run time.
     pub stretch: f64,
-    /// Time left of the objective's fixed part, in microseconds.
+    /// Slack of the objective that is left after the time since arrival, in microseconds;
+    /// may be negative.
     pub slack_us: f64,
 }
 
@@ -413,7 +415,7 @@
             let distance_factor = self.data_distance_factor(request, worker);
             let run_us = request.expected_us as f64 * gate.slowness() * distance_factor;
             let wait_us = gate.wait_us(request, &worker.capacity);
-            let risk = run_us / request.deadline_left_us.max(1) as f64;
+            let deadline_share = run_us / request.deadline_left_us.max(1) as f64;
             let free = gate
                 .load
                 .free
@@ -424,12 +426,16 @@
             let fast_worker_us = request.fast_worker_cost()
                 * typical_us
                 * (1.0 - gate.slowness())
-                * (1.0 - risk).max(0.0);
+                * (1.0 - deadline_share).max(0.0);
             let crowding_us = CROWDING_COST * typical_us * used * used;
             let miss_chance = request.miss_chance(wait_us, run_us);
             let missed_us = request.miss_cost_us() * miss_chance;
-            let score =
-                wait_us + run_us * risk + crowding_us + fast_worker_us + missed_us + noise_us;
+            let score = wait_us
+                + run_us * deadline_share
+                + crowding_us
+                + fast_worker_us
+                + missed_us
+                + noise_us;
             if best.as_ref().is_none_or(|(lowest, _)| score < *lowest) {
                 let choice = Choice {
                     gate: name.clone(),
--- a/src/ephemeral/routes.rs
+++ b/src/ephemeral/routes.rs
@@ -1,11 +1,11 @@
-//! Routes: the jobs that the configuration allows, and their terms.
+//! Routes: the kinds of jobs that the configuration allows, and their settings.
 
 use std::sync::Arc;
 
 use crate::ephemeral::job::Priority;
 use crate::ephemeral::scheduling::Scheduling;
 
-/// Terms for one kind of job.
+/// Settings for one kind of job.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Route {
     /// Name of the route.
--- a/src/ephemeral/run_spread.rs
+++ b/src/ephemeral/run_spread.rs
@@ -30,11 +30,11 @@
     pub begin_us: f64,
     /// Expected run time, in microseconds.
     pub run_us: f64,
-    /// Part of the objective that scales with the longest task, at the expected run time,
-    /// in microseconds.
+    /// Objective without its slack, if the longest task takes the expected run time, in
+    /// microseconds.
     pub stretched_us: f64,
-    /// Time left of the objective's fixed part, in microseconds; negative if it is
-    /// exceeded.
+    /// Slack of the objective that is left after the time since arrival, in microseconds;
+    /// may be negative.
     pub slack_us: f64,
     /// Number of other tasks of the job.
     pub others: u32,
@@ -60,17 +60,18 @@
         below as f64 / QUANTILES as f64
     }
 
-    /// Chance that the task makes its job late. The objective scales with the longest task,
-    /// so a task beside a longer one may end later.
+    /// Chance that the task makes its job late. The objective scales with the job's longest
+    /// task, so a task may end later if another one takes longer.
     pub fn miss_chance(&self, planned: &PlannedRun) -> f64 {
         let spent_us = planned.begin_us - planned.slack_us;
         if spent_us <= 0.0 && planned.run_us <= planned.stretched_us {
             return 0.0;
         }
         let miss_chance_at = |ratio: &f64| {
-            let longest = (spent_us + planned.run_us * ratio) / planned.stretched_us;
-            match *ratio < longest {
-                true => self.share_below(longest).powi(planned.others as i32),
+            // Ratio that the longest task must have for this task to be in time.
+            let needed = (spent_us + planned.run_us * ratio) / planned.stretched_us;
+            match *ratio < needed {
+                true => self.share_below(needed).powi(planned.others as i32),
                 false => 0.0,
             }
         };
--- a/src/ephemeral/subset.rs
+++ b/src/ephemeral/subset.rs
@@ -5,7 +5,7 @@
 //! demand. The number of frames then grows with the work and not with entries times gates.
 //!
 //! Gates are chosen by rendezvous hashing of the entry's and the gate's names. Entries need
-//! not coordinate, a gate that is added or removed changes one session per entry, and load
+//! not coordinate, a gate that is added or removed changes few sessions, and load
 //! spreads over all gates. Gates that are unreachable or take no work are replaced by
 //! others.
 
@@ -29,7 +29,7 @@
 const CAPACITY_FACTOR: f64 = 4.0;
 /// Half-life of the recorded demand.
 const DEMAND_HALF_LIFE: Duration = Duration::from_secs(10);
-/// How long the gates of a job kind are kept after its last job.
+/// How long gates are kept for a job kind after its last job.
 const KIND_RETENTION: Duration = Duration::from_secs(30);
 /// Maximum number of job kinds tracked; other jobs use the gates of their service.
 const MAX_KINDS: usize = 64;
@@ -105,12 +105,12 @@
     }
 }
 
-/// Gate that has a record, or had one a moment ago.
+/// Gate that has a record, or had one until recently.
 #[derive(Debug)]
 struct Candidate {
     name: Arc<str>,
     worker: Option<WorkerTraits>,
-    /// Since when its record has been missing.
+    /// Time since which its record has been missing.
     missing_since_us: Option<u64>,
 }
 
@@ -267,7 +267,7 @@
         self.wanted.contains(gate)
     }
 
-    /// Whether the gate has a record, or had one a moment ago.
+    /// Whether the gate has a record, or had one until recently.
     pub fn is_known(&self, gate: &str) -> bool {
         self.candidates.contains_key(&self.rank(gate))
     }
