--- a/src/ephemeral/dispatcher/admission.rs
+++ b/src/ephemeral/dispatcher/admission.rs
@@ -1,4 +1,5 @@
-//! Admission of jobs: a job is taken as a whole, and only if it can begin in time.
+//! Admission of jobs: a job is admitted as a whole, and only if all its tasks are expected
+//! to begin in time.
 //!
 //! A job that arrives while no gate takes work is parked for a short time, as gates usually
 //! reconnect within milliseconds.
@@ -26,16 +27,17 @@
 const MAX_RETRY_BASE_MS: u64 = 1_000;
 /// Weight of the caller's estimate against the recorded run time.
 const ESTIMATE_WEIGHT: f64 = 0.5;
-/// Share of a job's patience that the expected wait may take, for urgent jobs; the rest
-/// allows for errors of the estimate.
+/// Share of a job's patience, the time that its tasks may wait at gates, that the expected
+/// wait may take for urgent jobs; the rest allows for errors of the estimate.
 const URGENT_ADMIT_SHARE: f64 = 0.85;
 /// The same for other jobs when there is no congestion.
 const ADMIT_SHARE: f64 = 0.6;
 /// The same for other jobs at full congestion.
 const CONGESTED_ADMIT_SHARE: f64 = 0.2;
-/// Share of a job's patience that it may wait at gates if it can also wait in the entry.
+/// The same for other jobs without congestion if deferral is on, as they can then also wait
+/// in the entry.
 const QUEUE_SHARE: f64 = 0.1;
-/// The same for urgent jobs at full congestion; they overtake other jobs at gates.
+/// The same for urgent jobs at full congestion if deferral is on.
 const URGENT_QUEUE_SHARE: f64 = 0.4;
 /// Share of its objective for which a job is parked; the rest lets its caller try
 /// elsewhere.
@@ -45,7 +47,7 @@
 const WORKER_DISCOVERY_PERIOD: Duration = Duration::from_secs(3);
 
 /// Reason for refusing a job that fits no worker now but did before.
-const CAPACITY_REDUCED: &str = "no worker has the capacity for the job's tasks now";
+const CAPACITY_REDUCED: &str = "no worker has the capacity for it now";
 /// Reason for refusing a job while all failure domains are evacuated.
 const EVACUATED: &str = "the failure domains of all workers are evacuated";
 /// Reason for refusing a job that fits no worker known so far.
@@ -102,10 +104,7 @@
             false => 0.0,
         };
         let Some(waits) = self.waits_with_headroom(now, job, headroom) else {
-            let answer = refused(
-                "no worker accepts the job's tasks now",
-                NO_WORKER_RETRY_AFTER_MS,
-            );
+            let answer = refused("no worker takes it now", NO_WORKER_RETRY_AFTER_MS);
             return Err(Denial::Answer(answer));
         };
         let patience_us = job.patience_us(now.mono_us) as f64;
@@ -118,7 +117,7 @@
         let max_wait_us = patience_us * self.admit_share(job, level) * (1.0 - congestion_above);
         if waits.longest_us as f64 > max_wait_us {
             let text = format!(
-                "the expected wait for room is {} us; at most {} us is allowed at congestion {:.2}",
+                "no room within {} us; it may wait {} us at congestion {:.2}",
                 waits.longest_us,
                 max_wait_us as u64,
                 level.max(congestion_above)
@@ -129,7 +128,8 @@
         Ok(())
     }
 
-    /// Denies a job that is surplus.
+    /// Denies an otherwise admitted job that is surplus, as its route exceeds its fair
+    /// share.
     fn deny_surplus(
         &mut self,
         now: Moment,
@@ -142,7 +142,7 @@
         }
         admitted.and_then(|()| {
             let answer = refused(
-                "the route exceeds its usual demand while room is short",
+                "more is asked for than usual",
                 self.retry_after_ms(now, job),
             );
             Err(Denial::NoRoom(answer))
@@ -150,7 +150,7 @@
     }
 
     /// Retry delay for the caller of a refused job: the expected wait of the deferred jobs
-    /// that go first, with jitter so that refused callers do not return at once.
+    /// that go first, with jitter so that refused callers do not retry at the same time.
     pub(super) fn retry_after_ms(&mut self, now: Moment, job: &Job) -> u64 {
         if !self.scheduling.deferral {
             return RETRY_AFTER_MS;
@@ -198,8 +198,8 @@
         }
     }
 
-    /// Whether the fleet can run the task, from the gates' records and from open sessions,
-    /// which are more recent.
+    /// Whether the fleet can run a task, judged from the gates' records and from open
+    /// sessions, which are more recent.
     fn feasibility(&self, request: &PlacementRequest<'_>) -> Feasibility {
         let mut workers = self.gates.values().filter_map(GateView::worker);
         match self.subset.feasibility(request) {
@@ -216,10 +216,7 @@
     fn unfit_answer(&self, now: Moment) -> Answer {
         let since_us = self.open_gate_since_us.unwrap_or(now.mono_us);
         match now.mono_us > since_us + micros(WORKER_DISCOVERY_PERIOD) {
-            true => failed(
-                ResultCode::CannotRun,
-                "no known worker can ever run the job's tasks",
-            ),
+            true => failed(ResultCode::CannotRun, "no worker could ever run it"),
             false => refused(WORKERS_UNKNOWN, NO_WORKER_RETRY_AFTER_MS),
         }
     }
@@ -263,7 +260,8 @@
         })
     }
 
-    /// Reports to the subset how much processor time open jobs of the same kinds need.
+    /// Reports to the subset how much processor time open jobs of the same kinds need,
+    /// including this one.
     fn update_gate_demand(&mut self, now: Moment, job: &Job) {
         for kind in &job.kinds {
             let same_kind = |other: &&Job| other.kinds.contains(kind);
@@ -277,6 +275,7 @@
         }
     }
 
+    /// Expected run time of a task, from the caller's estimate and the recorded runs.
     fn expected_us(&self, spec: &JobSpec, route: &Route) -> u64 {
         let median_us = match self.scheduling.worker_speeds {
             true => self.run_spreads.median_us(route),
@@ -285,11 +284,11 @@
         let mean_us = || self.run_times.mean_us(&route.service, &route.name);
         match (spec.estimate_us, median_us.or_else(mean_us)) {
             (0, None) => self.typical_run.us(),
-            (0, Some(mean_us)) => mean_us,
+            (0, Some(recorded_us)) => recorded_us,
             (estimate_us, None) => estimate_us,
-            (estimate_us, Some(mean_us)) => {
-                let blend =
-                    estimate_us as f64 * ESTIMATE_WEIGHT + mean_us as f64 * (1.0 - ESTIMATE_WEIGHT);
+            (estimate_us, Some(recorded_us)) => {
+                let blend = estimate_us as f64 * ESTIMATE_WEIGHT
+                    + recorded_us as f64 * (1.0 - ESTIMATE_WEIGHT);
                 blend as u64
             }
         }
@@ -382,13 +381,10 @@
         self.jobs.insert(id, job);
         match admitted {
             Ok(()) => return true,
-            // Gates reconnect one by one, so the first ones may have too little room.
+            // Gates reconnect one by one; those still missing may have room.
             Err(_) if !overdue => {}
             Err(Denial::NoGate) => {
-                let answer = refused(
-                    "no worker became available in time",
-                    NO_WORKER_RETRY_AFTER_MS,
-                );
+                let answer = refused("no worker is known", NO_WORKER_RETRY_AFTER_MS);
                 self.finish(now, id, answer);
             }
             Err(Denial::NoRoom(answer)) => self.defer_or_refuse(now, id, &answer.message),
@@ -398,7 +394,7 @@
     }
 }
 
-/// Resources for `tasks` tasks, limited to what the worker holds beside one more task.
+/// Resources for `tasks` tasks, limited so that one more task still fits on the worker.
 fn headroom_at(gate: &GateView, needs: &Resources, tasks: f64) -> Resources {
     let capacity = gate.worker().map_or(0, |worker| worker.capacity.cpu_milli);
     let wanted = (needs.cpu_milli as f64 * tasks) as u64;
