--- a/src/ephemeral/agent.rs
+++ b/src/ephemeral/agent.rs
@@ -54,9 +54,9 @@
     /// Names the worker incarnation that was called, as does `Stopped`.
     Started(WorkerId, RunId, Result<StartAnswer, WorkerCallError>),
     Stopped(WorkerId, RunId, Result<(), WorkerCallError>),
-    Held(Moment, PollCall, Result<PollReply, WorkerCallError>),
-    /// A hold failed; `true` if before its time limit. `Held` follows after a pause.
-    HoldFailed(bool),
+    Polled(Moment, PollCall, Result<PollReply, WorkerCallError>),
+    /// A poll failed; `true` if before its timeout. `Polled` follows after a delay.
+    PollFailed(bool),
     Evacuated(bool),
     Leave,
 }
@@ -119,7 +119,7 @@
         ));
         let mut gate = Gate::new(parts.process.clone(), parts.limits, parts.log.clone());
         if parts.evacuations {
-            gate.expect_evacuation(parts.timer.now());
+            gate.await_evacuation_state(parts.timer.now());
         }
         let agent = Agent {
             gate,
@@ -141,7 +141,7 @@
             let timer = self.parts.timer.clone();
             let event = timer.within(pause, self.rx.recv()).await.flatten();
             let now = self.parts.timer.now();
-            if let Some(gap) = suspension.turn(now) {
+            if let Some(gap) = suspension.record_turn(now) {
                 warn!(self.parts.log, "process was suspended"; "gap_ms" => gap.as_millis() as u64);
             }
             if let Some(event) = event {
@@ -181,9 +181,9 @@
                     return;
                 }
                 for message in frame.messages {
-                    self.gate.message(now, session, message);
+                    self.gate.handle_message(now, session, message);
                 }
-                self.gate.heard(now, session);
+                self.gate.frame_received(now, session);
             }
             Event::Session(SessionEvent::Closed(session)) => {
                 self.end_session(session, SessionEndCause::Closed);
@@ -202,12 +202,12 @@
             Event::Stopped(worker, run, answer) => {
                 self.gate.stop_answered(now, &worker, run, answer);
             }
-            Event::Held(sent, call, answer) => self.gate.poll_answered(now, sent, &call, answer),
-            Event::HoldFailed(ended_early) => self.gate.poll_failed(now, ended_early),
+            Event::Polled(sent, call, answer) => self.gate.poll_answered(now, sent, &call, answer),
+            Event::PollFailed(ended_early) => self.gate.poll_failed(now, ended_early),
             Event::Evacuated(evacuated) => {
                 let gauge = u64::from(evacuated);
                 self.parts.metrics.gauge("evacuated", gauge);
-                self.gate.evacuate(now, evacuated);
+                self.gate.set_evacuated(now, evacuated);
             }
             Event::Leave => {
                 info!(self.parts.log, "agent is shutting down"; "idle" => self.gate.is_idle());
@@ -303,11 +303,11 @@
                     let answer = answer.await;
                     if answer.is_err() {
                         let waited_us = timer.now().mono_us.saturating_sub(now.mono_us);
-                        let ended_early = waited_us < micros(call.longest_wait());
-                        let _ = tx.send(Event::HoldFailed(ended_early));
+                        let ended_early = waited_us < micros(call.total_timeout());
+                        let _ = tx.send(Event::PollFailed(ended_early));
                         timer.sleep(call.retry_delay).await;
                     }
-                    let _ = tx.send(Event::Held(now, call, answer));
+                    let _ = tx.send(Event::Polled(now, call, answer));
                 });
             }
         }
--- a/src/ephemeral/entry/mod.rs
+++ b/src/ephemeral/entry/mod.rs
@@ -182,7 +182,7 @@
     }
 
     fn check_suspension(&mut self, now: Moment) {
-        if let Some(gap) = self.suspension.turn(now) {
+        if let Some(gap) = self.suspension.record_turn(now) {
             warn!(self.parts.log, "process was suspended"; "gap_ms" => gap.as_millis() as u64);
         }
     }
--- a/src/ephemeral/gate/progress.rs
+++ b/src/ephemeral/gate/answers.rs
@@ -1,4 +1,4 @@
-//! Handling of the worker's answers to starts, stops and polls.
+//! Polls of the worker, and its answers to starts, stops and polls.
 
 use std::time::Duration;
 
@@ -15,8 +15,8 @@
 use crate::ephemeral::worker_id::WorkerId;
 use crate::time::{Moment, micros};
 
-/// Longest time that the worker holds a poll open while there are runs. A poll may be lost,
-/// and ends are only seen by the next one.
+/// Longest time that the worker holds a poll open while there are runs. Short, as the ends of
+/// runs are received only with the next poll if one is lost.
 pub(super) const BUSY_POLL_WAIT: Duration = Duration::from_millis(50);
 /// Number of times that an unanswered start is repeated before the run is stopped. The
 /// worker treats repeated starts of a run as one.
@@ -32,9 +32,8 @@
 const IDLE_POLL_WAIT: Duration = Duration::from_millis(200);
 
 impl Gate {
-    /// Handles the outcome of a start that was sent to the incarnation `worker`. The
-    /// outcome of a start sent to an earlier incarnation says nothing about the current
-    /// one.
+    /// Handles the outcome of a start that was sent to the incarnation `worker`. Outcomes of
+    /// starts sent to earlier incarnations do not affect the state of the current one.
     pub fn start_answered(
         &mut self,
         now: Moment,
@@ -53,10 +52,12 @@
         let state = self.runs.get(&run).map(|record| record.state);
         let starting = matches!(state, Some(RunState::Starting { .. }));
         let was_resent = matches!(state, Some(RunState::Starting { resent, .. }) if resent > 0);
-        if let Some(RunState::Starting { asked_us, resent }) = state {
+        if let Some(RunState::Starting { sent_us, resent }) = state {
             match &answer {
-                Ok(_) => self.answers.record(now.mono_us.saturating_sub(asked_us)),
-                Err(_) => self.answers.record_miss(),
+                Ok(_) => self
+                    .answer_times
+                    .record(now.mono_us.saturating_sub(sent_us)),
+                Err(_) => self.answer_times.record_miss(),
             }
             let unanswered = matches!(answer, Err(WorkerCallError::Unanswered));
             let wanted = self.runs.get(&run).is_some_and(|record| {
@@ -74,7 +75,7 @@
         match answer.map(|answer| answer.reply) {
             Ok(StartReply::Running) if starting => self.mark_running(run),
             Ok(StartReply::Running) => {}
-            // The first attempt may have succeeded; the next listing tells.
+            // An earlier attempt may have succeeded; the next list of runs shows it.
             Ok(StartReply::Stale | StartReply::Rejected) if was_resent => {
                 self.stop(now, run, StopCause::Unanswered);
             }
@@ -150,24 +151,24 @@
             }
             Err(err) => {
                 debug!(self.log, "stop failed"; "run" => %run, "error" => %err);
-                self.stop_unanswered(now, run);
+                self.retry_stop(now, run);
             }
         }
     }
 
     /// Repeats an unanswered stop, but no sooner than after the answer timeout: a stop that
     /// failed at once would fail again.
-    fn stop_unanswered(&mut self, now: Moment, run: RunId) {
-        let timeout_us = micros(self.answers.timeout());
+    fn retry_stop(&mut self, now: Moment, run: RunId) {
+        let timeout_us = micros(self.answer_times.timeout());
         if let Some(record) = self.runs.get_mut(&run)
             && let RunState::Stopping {
                 acked_us: None,
-                asked_us,
+                sent_us,
                 ..
             } = &mut record.state
-            && now.mono_us >= *asked_us + timeout_us
+            && now.mono_us >= *sent_us + timeout_us
         {
-            *asked_us = now.mono_us;
+            *sent_us = now.mono_us;
             self.send_stop(run);
         }
     }
@@ -190,19 +191,19 @@
         };
         let wait_ms = wait.as_millis() as u64;
         let retry_delay = poll_retry_delay(self.missed_polls);
-        let lease_until = |incarnation: &mut super::Incarnation| {
+        let renewed_lease = |incarnation: &mut super::Incarnation| {
             let renews = incarnation.has_clock() && incarnation.listed && !unresponsive && !orphans;
-            renews.then(|| incarnation.lease_until(now, lease))
+            renews.then(|| incarnation.grant_lease(now, lease))
         };
         if !self.poll_pending {
             self.poll_pending = true;
             let call = PollCall {
                 worker: Some(incarnation.id()),
                 fence: incarnation.fence,
-                lease_until_ms: lease_until(incarnation),
+                lease_until_ms: renewed_lease(incarnation),
                 acked_end: incarnation.acked_end,
                 wait_ms,
-                timeout: self.answers.timeout(),
+                timeout: self.answer_times.timeout(),
                 retry_delay,
                 check: false,
             };
@@ -216,7 +217,7 @@
                 lease_until_ms: None,
                 acked_end: incarnation.acked_end,
                 wait_ms: 0,
-                timeout: self.answers.timeout(),
+                timeout: self.answer_times.timeout(),
                 retry_delay,
                 check: true,
             };
@@ -274,7 +275,7 @@
         };
         incarnation.update_clock(now, reply.clock_ms);
         if reply.fenced || call.fence.is_none() {
-            // Listings are only valid once the worker rejects calls of earlier gates.
+            // Lists are only valid once the worker rejects calls of earlier gates.
             self.fence_used = incarnation.choose_fence(&reply, self.fence_used);
             info!(self.log, "fencing token chosen"; "fence" => self.fence_used);
             return;
@@ -298,6 +299,8 @@
         self.update_pace(now, &reply.running);
     }
 
+    /// Finds the runs in the first list that no entry has claimed, and confirms those that
+    /// one has.
     fn find_unclaimed(&mut self, now: Moment, running: &[RunningRow]) {
         for row in running {
             if let Some(record) = self.runs.get_mut(&row.run) {
@@ -306,10 +309,10 @@
                 }
                 continue;
             }
-            // A run that has already ended here was started by a call meant for a previous
-            // incarnation.
+            // A run that this gate has already ended was started by a delayed call meant for a
+            // previous incarnation. It is stopped at once.
             let over = self.ended_runs.contains_key(&row.run);
-            info!(self.log, "unclaimed run found"; "run" => %row.run, "over" => over);
+            info!(self.log, "unclaimed run found"; "run" => %row.run, "ended" => over);
             let claim = match over {
                 true => Duration::ZERO,
                 false => self.limits.claim_window,
@@ -320,7 +323,7 @@
         self.load_changed = true;
     }
 
-    /// Stops claimed runs that the first listing does not contain: a start of the previous
+    /// Stops claimed runs that the first list does not contain, as a start of the previous
     /// gate may still be in flight.
     fn stop_missing(&mut self, now: Moment) {
         let missing: Vec<RunId> = self
@@ -374,8 +377,8 @@
         }
     }
 
-    /// Ends the runs whose stop was acknowledged before the listing was requested and that
-    /// it does not contain.
+    /// Ends the runs that the list does not contain and whose stop was acknowledged before the
+    /// list was requested at `sent`.
     fn confirm_stops(&mut self, now: Moment, sent: Moment, running: &[RunningRow]) {
         let gone: Vec<(RunId, bool)> = self
             .runs
@@ -400,9 +403,9 @@
     }
 }
 
-/// Delay before the next poll after `missed_answers` consecutive unanswered ones.
-fn poll_retry_delay(missed_answers: u32) -> Duration {
-    let doublings = missed_answers
+/// Delay before the next poll after `missed_polls` consecutive polls without an answer.
+fn poll_retry_delay(missed_polls: u32) -> Duration {
+    let doublings = missed_polls
         .saturating_sub(POLL_MISSES_BEFORE_BACKOFF)
         .min(MAX_BACKOFF_DOUBLINGS);
     POLL_RETRY_DELAY * 2u32.pow(doublings)
--- a/src/ephemeral/gate/evacuation.rs
+++ b/src/ephemeral/gate/evacuation.rs
@@ -19,7 +19,7 @@
     /// Not evacuated, or not known to be.
     #[default]
     No,
-    /// Not read yet; treated as not evacuated from this time on, in monotonic microseconds.
+    /// Not read yet; blocks starts until this time, in monotonic microseconds.
     UnknownUntil(u64),
     /// Evacuated.
     Yes,
@@ -37,12 +37,12 @@
 
 impl Gate {
     /// Refuses runs until the evacuation state is read, or for [`INITIAL_READ_TIMEOUT`].
-    pub fn expect_evacuation(&mut self, now: Moment) {
+    pub fn await_evacuation_state(&mut self, now: Moment) {
         self.evacuation = Evacuation::UnknownUntil(now.after(INITIAL_READ_TIMEOUT));
     }
 
     /// Sets whether the failure domain is evacuated.
-    pub fn evacuate(&mut self, now: Moment, evacuated: bool) {
+    pub fn set_evacuated(&mut self, now: Moment, evacuated: bool) {
         let next = match evacuated {
             true => Evacuation::Yes,
             false => Evacuation::No,
--- a/src/ephemeral/gate/headroom.rs
+++ b/src/ephemeral/gate/headroom.rs
@@ -1,8 +1,9 @@
-//! Headroom: processor time that runs leave free for more urgent ones.
+//! Headroom: CPU that runs leave free for more urgent ones.
 //!
-//! On a full worker, long runs would take each slot that is released, and a more urgent run
-//! would wait for one of them to end. A run therefore leaves free what more urgent orders
-//! are likely to need before the next run ends, by their recent rate.
+//! On a full worker, long runs would take all room that is released, and a more urgent run
+//! would wait for one of them to end. A run therefore starts only if it leaves free what
+//! more urgent runs are likely to need before the next run ends, judged by the recent rate
+//! of start orders.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -15,23 +16,23 @@
 const DEMAND_WINDOW: Duration = Duration::from_secs(1);
 /// Order count below which a priority counts as inactive.
 const MIN_ORDERS: f64 = 1.0;
-/// Probability of being needed above which a slot is left free. A job of several tasks is
-/// late if one task is.
+/// Room for a further urgent run is left free if it is needed with more than this
+/// probability. Low, as a job of several tasks is late if one task is.
 const MIN_PROBABILITY: f64 = 0.2;
-/// Maximum fraction of a worker that is left free, or one run if that is more.
+/// Maximum fraction of a worker that is left free; one urgent run if that is more.
 const MAX_SHARE: f64 = 0.1;
-/// Workers that fit fewer runs than this leave no headroom.
+/// A run leaves headroom only on workers that fit at least this many of its size.
 const MIN_RUNS: u64 = 4;
-/// A run leaves no headroom for urgent runs that can wait longer than its run time divided
-/// by this.
-const SHORT_RUN_FACTOR: f64 = 4.0;
+/// A run leaves headroom for urgent runs only if it takes at least this many times as long
+/// as they can wait.
+const MIN_RUN_TIME_FACTOR: f64 = 4.0;
 
-/// Recent orders of one priority.
+/// Recent start orders of one priority.
 #[derive(Clone, Copy, Debug, Default)]
 struct Demand {
     /// Decaying count of orders.
     orders: f64,
-    /// Mean processor time of a run, in thousandths of a core.
+    /// Mean CPU of a run, in thousandths of a core.
     cpu_milli: f64,
     /// Mean time until a run is due, in microseconds.
     due_us: f64,
@@ -75,7 +76,7 @@
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Candidate {
     pub priority: Priority,
-    /// Processor time that it needs, in thousandths of a core.
+    /// CPU that it needs, in thousandths of a core.
     pub cpu_milli: u64,
     /// Expected run time, in microseconds.
     pub run_us: u64,
@@ -94,7 +95,8 @@
         demand.observe(now, order);
     }
 
-    /// Priorities at which the headroom may change, unsorted.
+    /// Priorities with recent orders and those just below them, unsorted. The required headroom
+    /// may change at each of these.
     pub fn priorities(&self, now: Moment) -> impl Iterator<Item = Priority> {
         let active = self.demand.iter();
         let active = active.filter(move |(_, demand)| demand.is_active(now));
@@ -111,8 +113,8 @@
         }
     }
 
-    /// Processor time that `run` must leave free on a worker of `capacity`, if the next run
-    /// ends in `next_us`, in thousandths of a core.
+    /// CPU that `run` must leave free on a worker of `capacity` if the next run ends in
+    /// `next_us`; both in thousandths of a core.
     pub fn required(&self, now: Moment, run: &Candidate, next_us: u64, capacity: u64) -> u64 {
         if run.cpu_milli * MIN_RUNS > capacity {
             return 0;
@@ -120,21 +122,21 @@
         let more_urgent = self.demand.range(..run.priority);
         let delayed = more_urgent
             .map(|(_, demand)| demand)
-            .filter(|demand| run.run_us as f64 >= demand.due_us * SHORT_RUN_FACTOR)
+            .filter(|demand| run.run_us as f64 >= demand.due_us * MIN_RUN_TIME_FACTOR)
             .filter(|demand| demand.is_active(now));
         let largest = delayed.clone().map(|demand| demand.cpu_milli);
-        let most = largest.fold(capacity as f64 * MAX_SHARE, f64::max);
+        let limit = largest.fold(capacity as f64 * MAX_SHARE, f64::max);
         let required = delayed.fold(0.0, |sum, demand| {
             let cpu_milli = demand.cpu_milli.max(1.0);
-            let fit = ((most - sum) / cpu_milli).floor();
+            let fit = ((limit - sum) / cpu_milli).floor();
             sum + cpu_milli * fit.min(demand.likely_runs(now, next_us) as f64)
         });
         required as u64
     }
 }
 
-/// Largest number of independent events that is reached with a probability above
-/// [`MIN_PROBABILITY`], if `mean` are expected.
+/// Largest number of events that occurs with a probability above [`MIN_PROBABILITY`], for a
+/// Poisson distribution with this mean.
 fn likely_count(mean: f64) -> u64 {
     let mut chance = (-mean).exp();
     let mut at_least = 1.0 - chance;
--- a/src/ephemeral/gate/health.rs
+++ b/src/ephemeral/gate/health.rs
@@ -18,13 +18,13 @@
 const BASELINE_WEIGHT: f64 = 0.04;
 /// Weight of a new run in the recent slowness.
 const RECENT_WEIGHT: f64 = 0.3;
-/// Weight of a new pace sample.
+/// Weight of a new sample in the pace.
 const PACE_WEIGHT: f64 = 0.4;
 /// Time without samples after which the recent slowness is reset.
 const SAMPLE_EXPIRY: Duration = Duration::from_secs(1);
 /// Ratio to the baseline from which a worker counts as slow.
 const SLOW_FACTOR: f64 = 1.8;
-/// Cap on the ratio of a single run.
+/// Cap on the ratio of actual to expected run time of a single run.
 const MAX_RATIO: f64 = 10.0;
 /// Shortest expected run time that is measured, in microseconds; for shorter runs the
 /// overhead dominates.
@@ -39,12 +39,12 @@
     baseline: f64,
     /// Short-term ratio of actual to expected run time.
     recent: f64,
-    /// Ratio by the progress of current runs.
+    /// Ratio estimated from the progress of current runs.
     pace: f64,
-    measured: u32,
+    measured_runs: u32,
     last_sample_us: u64,
     speed: Speed,
-    /// Whether speeds are medians instead of means.
+    /// Whether ratios are aggregated by median instead of mean.
     by_median: bool,
     /// Last logged value of [`Health::is_slow`].
     logged_slow: bool,
@@ -58,7 +58,7 @@
             baseline: 1.0,
             recent: 1.0,
             pace: 1.0,
-            measured: 0,
+            measured_runs: 0,
             last_sample_us: 0,
             speed: Speed::default(),
             by_median: false,
@@ -68,7 +68,7 @@
 }
 
 impl Health {
-    /// Sets whether speeds are medians instead of means.
+    /// Sets whether ratios are aggregated by median instead of mean.
     pub fn set_by_median(&mut self, by_median: bool) {
         self.by_median = by_median;
     }
@@ -95,12 +95,12 @@
         if self.recent.max(self.pace) > self.baseline * SLOW_FACTOR {
             return;
         }
-        self.measured += 1;
-        let weight = BASELINE_WEIGHT.max(1.0 / f64::from(self.measured + 1));
+        self.measured_runs += 1;
+        let weight = BASELINE_WEIGHT.max(1.0 / f64::from(self.measured_runs + 1));
         self.baseline += weight * (ratio - self.baseline);
     }
 
-    /// Records the slowness by the progress of current runs.
+    /// Records the slowness estimated from the progress of current runs.
     pub fn record_pace(&mut self, now: Moment, slowness: f64) {
         self.last_sample_us = now.mono_us;
         self.pace += PACE_WEIGHT * (slowness.min(MAX_RATIO) - self.pace);
@@ -136,7 +136,7 @@
         changed.then_some(slow)
     }
 
-    /// Whether speeds are medians instead of means.
+    /// Whether ratios are aggregated by median instead of mean.
     pub fn by_median(&self) -> bool {
         self.by_median
     }
--- a/src/ephemeral/gate/incarnation.rs
+++ b/src/ephemeral/gate/incarnation.rs
@@ -26,7 +26,7 @@
     given_us + micros(lease.mul_f64(MAX_CLOCK_SLOWDOWN) + LEASE_MARGIN)
 }
 
-/// Upper bound on the age of an answer to a start; its timeout is far shorter.
+/// Upper bound on the age of an answer to a start; the timeout of the call is far shorter.
 const MAX_ANSWER_AGE: Duration = Duration::from_secs(2);
 
 /// An incarnation of the worker.
@@ -38,7 +38,7 @@
     pub sequence: u64,
     /// Whether it announced that it is leaving.
     pub leaving: bool,
-    /// Number of the newest end that was received.
+    /// Sequence number of the newest end that was received.
     pub acked_end: u64,
     /// Fencing token of this gate: the worker's clock plus its start time at first contact.
     /// It rises with each incarnation of the gate and of the worker without using the
@@ -115,7 +115,7 @@
         self.clock_at_us = now.mono_us;
     }
 
-    /// Whether `clock_ms` is too low for the clock of this incarnation.
+    /// Whether `clock_ms` is too low to be read from the clock of this incarnation.
     pub fn is_clock_reset(&self, now: Moment, clock_ms: u64) -> bool {
         (clock_ms as f64) + MAX_ANSWER_AGE.as_millis() as f64 <= self.clock(now)
     }
@@ -131,15 +131,14 @@
         self.clock_ms > 0.0
     }
 
-    /// Records the grant of a lease and returns its end on the worker's clock, in
-    /// milliseconds.
-    pub fn lease_until(&mut self, now: Moment, lease: Duration) -> u64 {
+    /// Grants a lease from now on; returns its end on the worker's clock, in milliseconds.
+    pub fn grant_lease(&mut self, now: Moment, lease: Duration) -> u64 {
         self.lease_sent_us = now.mono_us;
         self.clock(now) as u64 + lease.as_millis() as u64
     }
 
     /// Whether all leases have certainly expired.
-    pub fn lease_is_over(&self, now: Moment, lease: Duration) -> bool {
+    pub fn is_lease_expired(&self, now: Moment, lease: Duration) -> bool {
         now.mono_us > lease_end_us(self.lease_sent_us, lease) && !self.has_inherited_lease(now)
     }
 }
--- a/src/ephemeral/gate/losses.rs
+++ b/src/ephemeral/gate/losses.rs
@@ -7,7 +7,7 @@
 
 use slog::info;
 
-use super::progress::BUSY_POLL_WAIT;
+use super::answers::BUSY_POLL_WAIT;
 use super::worker_incarnations::UNRESPONSIVE_MISSES;
 use super::{Gate, GateAction, Run, RunState};
 use crate::ephemeral::job::RunId;
@@ -34,7 +34,7 @@
 }
 
 impl LostRun {
-    /// The same as an unconfirmed loss, for a worker that may still be alive.
+    /// A copy that claims nothing about the cause, for a worker that may still be alive.
     fn as_unconfirmed(&self) -> LostRun {
         LostRun {
             age_us: self.age_us,
@@ -52,12 +52,12 @@
     /// Records the loss of the worker and of the runs on it. Unanswered starts are resolved
     /// by their outcome, as they may have reached the worker after its end.
     pub(super) fn record_losses(&mut self, now: Moment, worker: &WorkerId) {
-        let open = self
+        let unanswered = self
             .runs
             .iter()
-            .filter(|(_, record)| record.is_unanswered());
-        let open = open.map(|(run, _)| (*run, loss_of(*run, worker)));
-        self.unanswered_starts = open.collect();
+            .filter(|(_, record)| record.is_first_start_unanswered());
+        let unanswered = unanswered.map(|(run, _)| (*run, loss_of(*run, worker)));
+        self.unanswered_starts = unanswered.collect();
         let mut lost = std::mem::take(&mut self.suspected_losses);
         lost.extend(self.lost_runs(now, worker));
         self.publish_losses(lost);
@@ -108,10 +108,10 @@
         self.keep_losses(lost.into_iter().map(|lost| lost.loss));
     }
 
-    /// Handles an expired lease. The losses are final only once the incarnation is known to
-    /// have ended; an answer cancels them. Unconfirmed losses are published at once if the
-    /// worker is unresponsive, as it may have crashed. Otherwise this process may have
-    /// stalled, or the next incarnation already answers.
+    /// Handles an expired lease. The losses are kept until the incarnation is known to have
+    /// ended, and dropped if it answers a poll. If the worker is unresponsive, it may have
+    /// crashed, and the losses are published at once as unconfirmed. If it answers, this
+    /// process may have stalled, or the next incarnation may be answering.
     pub(super) fn suspect_losses(&mut self, now: Moment, worker: &WorkerId) {
         let suspected = self.lost_runs(now, worker);
         if self.is_unresponsive(now) {
@@ -162,12 +162,12 @@
     fn age_at_loss_us(&self, now: Moment, run: &Run) -> u64 {
         let failed_us = self.poll_failed_us.unwrap_or(now.mono_us);
         let lost_us = failed_us.min(self.answered_us + micros(BUSY_POLL_WAIT));
-        lost_us.saturating_sub(run.since_us)
+        lost_us.saturating_sub(run.queued_or_started_us)
     }
 
-    /// Latest time at which the worker was lost, in monotonic microseconds: when a poll was
-    /// disconnected, or before several calls went unanswered. A single call may be lost
-    /// while the worker lives.
+    /// Time by which the worker was lost, in monotonic microseconds: when a poll was
+    /// disconnected, or when an answer was due before several calls went unanswered. A single
+    /// call may be lost while the worker is alive.
     fn lost_by_us(&self, now: Moment) -> u64 {
         let silent = self.missed_answers >= UNRESPONSIVE_MISSES;
         let silent_us = silent.then_some(self.answered_us + micros(BUSY_POLL_WAIT));
@@ -186,18 +186,18 @@
             RunState::Stopping { since_us, .. } => since_us < lost_us,
             _ => false,
         };
-        // After its last lease has expired, a run may have ended before the worker was lost.
+        // If the last lease may have expired first, the run may have ended before the loss.
         let detected_us = self.poll_failed_us.unwrap_or(now.mono_us);
-        let lease_taken_us = self.answered_us.saturating_sub(micros(BUSY_POLL_WAIT));
-        let in_lease = detected_us <= lease_taken_us + micros(self.limits.lease);
-        let age_us = lost_us.saturating_sub(run.ordered_us);
+        let last_lease_us = self.answered_us.saturating_sub(micros(BUSY_POLL_WAIT));
+        let in_lease = detected_us <= last_lease_us + micros(self.limits.lease);
+        let age_us = lost_us.saturating_sub(run.first_start_us);
         in_lease && !stopped && was_still_running(age_us, run.expected_us)
     }
 
     /// Sends each entry the likeliest causes and the losses of its own runs.
     fn send_losses(&mut self, lost: &[LostRun]) {
         let sent_from = lost.len().saturating_sub(MAX_STORED_LOSSES);
-        let entries: Vec<ProcessId> = self.owners.keys().cloned().collect();
+        let entries: Vec<ProcessId> = self.entries.keys().cloned().collect();
         for entry in entries {
             let of_interest = |(at, lost): &(usize, &LostRun)| {
                 *at >= sent_from || lost.owner.as_ref() == Some(&entry)
@@ -220,8 +220,8 @@
         self.actions.push(GateAction::StoreLosses(newest));
     }
 
-    /// Records that a poll failed, before its outcome is delivered; `disconnected` is
-    /// whether it failed before its timeout.
+    /// Records the time at which a poll failed; [`Gate::poll_answered`] follows after the
+    /// retry delay. `disconnected` is whether it failed before its timeout.
     pub fn poll_failed(&mut self, now: Moment, disconnected: bool) {
         self.poll_failed_us.get_or_insert(now.mono_us);
         if disconnected {
@@ -239,7 +239,7 @@
 
     /// Stores losses found by an entry and forwards them to the others.
     pub(super) fn receive_losses(&mut self, from: &ProcessId, losses: Vec<WorkerLoss>) {
-        let others = self.owners.keys().filter(|entry| *entry != from);
+        let others = self.entries.keys().filter(|entry| *entry != from);
         let others: Vec<ProcessId> = others.cloned().collect();
         for entry in others {
             self.send(&entry, ToEntry::Losses(losses.clone()));
--- a/src/ephemeral/gate/mod.rs
+++ b/src/ephemeral/gate/mod.rs
@@ -3,12 +3,13 @@
 //!
 //! Its inputs are messages from entries, replies and reports from the worker, and the
 //! clock; its outputs are [`GateAction`]s. Runs queue until the worker has room, are then
-//! started on it, and end when the worker lists their end. A run whose start was not
-//! answered keeps its reservation until the worker has acknowledged a stop and a later
-//! listing omits it. The runs of an entry whose session expires are stopped. A restarted
-//! gate starts nothing until each run that the worker lists is claimed by its entry or has
-//! ended.
+//! started on it, and end when the worker reports their end. Answers to polls list the
+//! running and the ended runs. A run whose start was not answered keeps its reservation
+//! until the worker has acknowledged a stop and a later list omits it. The runs of an entry
+//! that has been silent for too long are stopped. A restarted gate starts nothing until each
+//! listed run has been claimed by its entry or has ended.
 
+mod answers;
 mod config;
 mod evacuation;
 mod forecast;
@@ -19,7 +20,7 @@
 mod pace;
 mod patience;
 mod pause;
-mod progress;
+
 mod queue;
 mod restart;
 mod sessions;
@@ -52,7 +53,7 @@
 use patience::PatienceCounts;
 use queue::QueuePosition;
 use restart::CarryOver;
-use sessions::Owner;
+use sessions::EntryState;
 use worker_incarnations::Successor;
 
 /// Retention of ended runs, for entries that reconnect.
@@ -102,7 +103,7 @@
         position: QueuePosition,
         until_us: u64,
     },
-    /// Claimed by its entry before the first listing of the worker.
+    /// Claimed by its entry before the worker has listed its runs.
     Claimed {
         /// Whether a previous incarnation of the gate may have started it.
         began: bool,
@@ -110,7 +111,7 @@
     /// Start sent, not yet answered.
     Starting {
         /// Time of the last attempt.
-        asked_us: u64,
+        sent_us: u64,
         /// Number of repeated attempts.
         resent: u32,
     },
@@ -124,7 +125,7 @@
         /// Time of the first stop.
         since_us: u64,
         /// Time of the last stop.
-        asked_us: u64,
+        sent_us: u64,
         /// Time at which the worker acknowledged the stop.
         acked_us: Option<u64>,
     },
@@ -139,13 +140,14 @@
     movable: bool,
     /// Whether the worker of an earlier run of its task was lost.
     implicated: bool,
-    /// Whether it leaves room free for more urgent runs.
+    /// Whether it must leave headroom for more urgent runs.
     leaves_headroom: bool,
-    since_us: u64,
-    /// Time of the first start.
-    ordered_us: u64,
+    /// Time of arrival, then of the last attempt to start it.
+    queued_or_started_us: u64,
+    /// Time of the first attempt to start it; the time of arrival before, 0 if unknown.
+    first_start_us: u64,
     state: RunState,
-    /// Whether a listing of the worker has contained it.
+    /// Whether the worker has listed it as running.
     listed: bool,
     /// Progress at the last sample.
     last_sample: Option<ProgressSample>,
@@ -157,14 +159,15 @@
         !matches!(self.state, RunState::Queued { .. })
     }
 
-    /// Whether the first start is still unanswered.
-    fn is_unanswered(&self) -> bool {
+    /// Whether the first attempt to start it is still unanswered.
+    fn is_first_start_unanswered(&self) -> bool {
         matches!(self.state, RunState::Starting { resent: 0, .. })
     }
 
-    /// Whether the worker may have begun the run.
+    /// Whether it counts as being on the worker. A run whose first start is unanswered is
+    /// judged by the outcome of that start instead.
     fn may_have_begun(&self) -> bool {
-        self.is_dispatched() && !self.is_unanswered()
+        self.is_dispatched() && !self.is_first_start_unanswered()
     }
 
     /// Whether the worker is known to have begun the run.
@@ -191,15 +194,16 @@
     limits: Limits,
     log: Logger,
     incarnation: Option<Incarnation>,
+    /// Another incarnation, reported while the current one exists.
     successor: Option<Successor>,
     /// Incarnations of the worker that are known to have ended.
     past_incarnations: VecDeque<WorkerId>,
-    /// Whether workers report their start time.
+    /// Whether an answer of the worker has contained its start time.
     reports_start_time: bool,
     /// Highest fencing token used so far.
     fence_used: u64,
-    /// Set from the end of an incarnation that restarts under its name until the next one is
-    /// adopted.
+    /// Set between the end of an incarnation that restarts under the same name and the
+    /// adoption of the next one.
     carry_over: Option<CarryOver>,
     /// Worker losses, oldest first.
     losses: VecDeque<WorkerLoss>,
@@ -212,17 +216,21 @@
     headroom: Headroom,
     patience_counts: PatienceCounts,
     health: Health,
-    answers: AnswerTimes,
-    owners: BTreeMap<ProcessId, Owner>,
+    answer_times: AnswerTimes,
+    entries: BTreeMap<ProcessId, EntryState>,
     sessions: HashMap<SessionId, ProcessId>,
     runs: BTreeMap<RunId, Run>,
     queue: BTreeSet<QueuePosition>,
     ended_runs: HashMap<RunId, EndedRun>,
     ended_order: VecDeque<(u64, RunId)>,
-    /// Runs of a previous gate that no entry has claimed, and when they are to be stopped.
+    /// Runs of a previous gate that no entry has claimed, and the time at which each is to be
+    /// stopped.
     unclaimed: BTreeMap<RunId, u64>,
+    /// Whether the regular poll is in flight.
     poll_pending: bool,
+    /// Whether a check, an immediate poll beside the regular one, is in flight.
     check_pending: bool,
+    /// Whether another check is to be sent.
     check_wanted: bool,
     /// Consecutive calls without an answer.
     missed_answers: u32,
@@ -261,8 +269,8 @@
             headroom: Headroom::default(),
             patience_counts: PatienceCounts::default(),
             health: Health::default(),
-            answers: AnswerTimes::default(),
-            owners: BTreeMap::new(),
+            answer_times: AnswerTimes::default(),
+            entries: BTreeMap::new(),
             sessions: HashMap::new(),
             runs: BTreeMap::new(),
             queue: BTreeSet::new(),
@@ -348,7 +356,7 @@
             cause,
             began,
             since_us: now.mono_us,
-            asked_us: now.mono_us,
+            sent_us: now.mono_us,
             acked_us: None,
         };
         debug!(self.log, "stopping run"; "run" => %run, "cause" => ?cause, "began" => began);
@@ -361,7 +369,7 @@
                 worker: incarnation.id(),
                 run,
                 fence: incarnation.fence.unwrap_or(0),
-                timeout: self.answers.timeout(),
+                timeout: self.answer_times.timeout(),
             }));
         }
     }
@@ -377,7 +385,7 @@
         self.room.release(run);
         let run_us = match end {
             RunEnd::NotRun(_) => 0,
-            _ => now.mono_us.saturating_sub(record.since_us),
+            _ => now.mono_us.saturating_sub(record.queued_or_started_us),
         };
         match end {
             RunEnd::Done => self.health.record_finished(now, run_us, record.expected_us),
@@ -420,7 +428,7 @@
 
     /// Handles timeouts.
     pub fn tick(&mut self, now: Moment) {
-        self.expire_owners(now);
+        self.expire_entries(now);
         self.expire_queued(now);
         self.stop_unclaimed(now);
         self.resend_stops(now);
@@ -431,7 +439,7 @@
         self.health.expire_samples(now);
         if let Some(slow) = self.health.take_slow_change() {
             info!(self.log, "worker speed changed"; "slow" => slow,
-                "usual" => self.health.baseline(), "slowness" => self.health.slowness());
+                "baseline" => self.health.baseline(), "slowness" => self.health.slowness());
         }
     }
 
@@ -439,13 +447,13 @@
         let mut sent = Vec::new();
         for (run, record) in &mut self.runs {
             if let RunState::Stopping {
-                asked_us,
+                sent_us,
                 acked_us: None,
                 ..
             } = &mut record.state
-                && now.mono_us > *asked_us + micros(STOP_RETRY_DELAY)
+                && now.mono_us > *sent_us + micros(STOP_RETRY_DELAY)
             {
-                *asked_us = now.mono_us;
+                *sent_us = now.mono_us;
                 sent.push(*run);
             }
         }
--- a/src/ephemeral/gate/pace.rs
+++ b/src/ephemeral/gate/pace.rs
@@ -19,17 +19,19 @@
 const MIN_RUNS: usize = 3;
 /// Minimum time without progress after which a run counts as stalled.
 const STALL_TIMEOUT: Duration = Duration::from_millis(120);
-/// The same as a fraction of the expected run time: progress is reported in whole percents,
-/// which a long run reaches slowly.
+/// Minimum time without progress as a fraction of the expected run time; a long run takes
+/// long for each whole percent that is reported.
 const STALL_SHARE: f64 = 0.08;
-/// Number of percent steps, at the run's own rate, that a run may miss before it counts as
-/// stalled; used with median speeds.
+/// Minimum time without progress in multiples of the time that the run took per percent;
+/// used with medians only.
 const STALL_STEPS: f64 = 3.0;
-/// Factor on the expected run time that a long task may take; it delays the first percent.
+/// Ratio of actual to expected run time that is assumed until the first percent is reported,
+/// as the task may be a long one.
 const LONG_TASK_FACTOR: f64 = 10.0;
 /// Cost of moving a run in addition to the time for stopping it.
 const MOVE_COST: Duration = Duration::from_millis(30);
-/// A run is moved if its remaining time here exceeds its run time elsewhere by this factor.
+/// A run is moved if its remaining time here exceeds its whole run time elsewhere by this
+/// factor.
 const MOVE_FACTOR: f64 = 1.3;
 
 /// Progress of a run at the last sample.
@@ -37,8 +39,8 @@
 pub(super) struct ProgressSample {
     at_us: u64,
     percent: u32,
-    /// Time since which there has been no progress.
-    stalled_since_us: u64,
+    /// Time of the last progress.
+    last_progress_us: u64,
     /// Ratio of elapsed time to expected work between the last two samples.
     slowness: f64,
 }
@@ -48,13 +50,13 @@
         ProgressSample {
             at_us,
             percent,
-            stalled_since_us: at_us,
+            last_progress_us: at_us,
             slowness: 0.0,
         }
     }
 }
 
-/// Pace of the worker by one listing.
+/// Pace of the worker, from the progress in one answer to a poll.
 #[derive(Default)]
 struct Pace {
     runs: usize,
@@ -77,7 +79,7 @@
     }
 
     /// Ratio of elapsed time to expected work; `None` if there are too few samples. With
-    /// median speeds the fastest run is used, as long tasks are over-represented among the
+    /// medians it is that of the fastest run, as long tasks are over-represented among the
     /// running ones.
     fn slowness(&self, by_median: bool) -> Option<f64> {
         (self.runs >= MIN_RUNS).then_some(match by_median {
@@ -101,7 +103,7 @@
         }
         let gained = percent.saturating_sub(sample.percent);
         if gained > 0 {
-            sample.stalled_since_us = now.mono_us;
+            sample.last_progress_us = now.mono_us;
         }
         sample.at_us = now.mono_us;
         sample.percent = percent;
@@ -113,7 +115,7 @@
     fn has_stalled(&self, now: Moment, by_median: bool) -> bool {
         let since_us = self
             .last_sample
-            .map_or(now.mono_us, |sample| sample.stalled_since_us);
+            .map_or(now.mono_us, |sample| sample.last_progress_us);
         let share_us = (self.expected_us as f64 * STALL_SHARE) as u64;
         let own_us = match by_median {
             true => (self.step_us() * STALL_STEPS) as u64,
@@ -122,20 +124,22 @@
         now.mono_us > since_us + share_us.max(micros(STALL_TIMEOUT)).max(own_us)
     }
 
-    /// Time per percent of progress at the run's own rate, or at that of a long task before
-    /// the first percent, in microseconds.
+    /// Time that the run took per percent, or that of a long task before the first percent, in
+    /// microseconds.
     fn step_us(&self) -> f64 {
         match self.last_sample {
             Some(sample) if sample.percent > 0 => {
-                let took_us = sample.stalled_since_us.saturating_sub(self.since_us);
+                let took_us = sample
+                    .last_progress_us
+                    .saturating_sub(self.queued_or_started_us);
                 took_us as f64 / f64::from(sample.percent)
             }
             _ => self.expected_us as f64 * LONG_TASK_FACTOR / 100.0,
         }
     }
 
-    /// Whether it progressed less between the last two samples than on a worker of the
-    /// given slowness.
+    /// Whether it progressed clearly less between the last two samples than it would on a
+    /// worker of the given slowness.
     fn is_slower_than(&self, slowness: f64) -> bool {
         self.last_sample
             .is_some_and(|sample| sample.slowness > slowness * MOVE_FACTOR)
@@ -150,7 +154,7 @@
 }
 
 impl Gate {
-    /// Updates the worker's pace from the listed progress and stops stalled runs.
+    /// Updates the worker's pace from the listed progress, and stops slow and stalled runs.
     pub(super) fn update_pace(&mut self, now: Moment, running: &[RunningRow]) {
         let mut pace = Pace::default();
         for row in running {
@@ -192,8 +196,9 @@
             .map(|(run, record)| {
                 info!(self.log, "stopping slow or stalled run"; "run" => %run,
                     "percent" => record.last_sample.map(|sample| sample.percent),
-                    "elapsed_us" => now.mono_us.saturating_sub(record.since_us),
-                    "expected_us" => record.expected_us, "slowness" => here, "usual" => baseline);
+                    "elapsed_us" => now.mono_us.saturating_sub(record.queued_or_started_us),
+                    "expected_us" => record.expected_us, "slowness" => here,
+                    "baseline" => baseline);
                 *run
             })
             .collect()
--- a/src/ephemeral/gate/patience.rs
+++ b/src/ephemeral/gate/patience.rs
@@ -1,9 +1,9 @@
 //! Adjusts how long queued runs wait, by the forecast of free room.
 //!
-//! An entry chooses the patience of a run from a load report that may be outdated. A run
-//! that is forecast to start in time is queued even if its entry gave it no patience, and
-//! one that is forecast to start too late is returned early. Only runs that leave headroom
-//! are adjusted.
+//! An entry chooses the patience of a run, the longest time that it may be queued, from a
+//! load report that may be outdated. A run that is forecast to start in time is held in the
+//! queue even if its entry gave it no patience, and one that is forecast to start too late
+//! is sent back to its entry early. Only runs that must leave headroom are adjusted.
 
 use slog::debug;
 
@@ -16,16 +16,17 @@
 
 /// Maximum forecast wait of a held run, as a fraction of the time until it is due.
 const MAX_HOLD_SHARE: f64 = 0.8;
-/// Factor on the forecast wait after which a held run is returned; run times vary.
+/// A held run is sent back after this many times its forecast wait; run times vary.
 const WAIT_MARGIN: f64 = 1.5;
-/// Shortest hold time, in microseconds; allows for two round trips.
-const MIN_HOLD_US: u64 = 10_000;
-/// Maximum forecast wait of a run, as a fraction of its remaining patience.
+/// Added to the time for which a run is held, in microseconds; allows for two round trips.
+const HOLD_MARGIN_US: u64 = 10_000;
+/// Maximum forecast wait of a queued run, as a fraction of its remaining patience.
 const MAX_WAIT_SHARE: f64 = 0.8;
-/// Forecast wait that is always accepted, in microseconds, as a retry on another gate takes
-/// as long.
+/// Accepted in addition to [`MAX_WAIT_SHARE`], in microseconds, as a retry on another gate
+/// takes as long.
 const SHORT_WAIT_US: u64 = 10_000;
-/// The same as a fraction of the run time: a long run gains little on another gate.
+/// The same as a fraction of the run time, if that is more: a long run gains little on
+/// another gate.
 const SHORT_WAIT_SHARE: f64 = 0.1;
 
 /// Counts of runs whose patience was changed.
@@ -33,12 +34,12 @@
 pub(super) struct PatienceCounts {
     /// Held although their entry gave them no patience.
     pub held: u64,
-    /// Returned before their patience ended.
+    /// Sent back before their patience ended.
     pub sent_back: u64,
 }
 
 impl Gate {
-    /// Holds a new run or returns queued ones, according to the forecast.
+    /// Holds a new run or sends queued ones back, according to the forecast.
     pub(super) fn adjust_patience(
         &mut self,
         now: Moment,
@@ -62,14 +63,15 @@
         }
         let ahead = self.queue.range(..=*position);
         let ahead = ahead.map(|position| self.runs[&position.run].needs.cpu_milli);
-        let wanted = ahead.sum::<u64>() + self.headroom_of(now, position);
+        let wanted = ahead.sum::<u64>() + self.headroom_for_queued(now, position);
         let wait_us = self.forecast(now).wait_us(wanted);
         if wait_us == 0 || wait_us as f64 > due_us as f64 * MAX_HOLD_SHARE {
             return;
         }
-        let held_us = (wait_us as f64 * WAIT_MARGIN) as u64 + MIN_HOLD_US;
+        let held_us = (wait_us as f64 * WAIT_MARGIN) as u64 + HOLD_MARGIN_US;
         if let Some(record) = self.runs.get_mut(&position.run) {
-            debug!(self.log, "run held by forecast"; "run" => %position.run, "wait_us" => wait_us);
+            debug!(self.log, "run held in queue: forecast to start in time";
+                "run" => %position.run, "wait_us" => wait_us);
             record.state = RunState::Queued {
                 position: *position,
                 until_us: now.mono_us + held_us.min(due_us),
@@ -78,10 +80,10 @@
         }
     }
 
-    /// Returns queued runs that are not forecast to start within their patience.
+    /// Sends back queued runs that are not forecast to start within their patience.
     fn send_back_late(&mut self, now: Moment) {
         for run in self.runs_forecast_late(now) {
-            debug!(self.log, "run returned by forecast"; "run" => %run);
+            debug!(self.log, "run sent back: forecast to start too late"; "run" => %run);
             self.patience_counts.sent_back += 1;
             self.end(now, run, RunEnd::NotRun(NotRunReason::NoRoom));
         }
@@ -108,7 +110,7 @@
                 continue;
             };
             let wanted = ahead + record.needs.cpu_milli;
-            let wait_us = forecast.wait_us(wanted + self.headroom_of(now, position));
+            let wait_us = forecast.wait_us(wanted + self.headroom_for_queued(now, position));
             if record.leaves_headroom && wait_us > longest_wait_us(now, record, until_us) {
                 late.push(position.run);
             } else {
--- a/src/ephemeral/gate/pause.rs
+++ b/src/ephemeral/gate/pause.rs
@@ -1,11 +1,12 @@
 //! Longest time that the host loop of a gate may wait for an event.
 //!
-//! Starts, answers and closed sessions are events. Due heartbeats and expiring entries have
-//! known times; calls in flight and queued runs need regular ticks.
+//! Messages, answers and closed sessions wake the loop. It must also wake when a load report
+//! is due or an entry expires, and at short intervals while calls are in flight or runs are
+//! queued.
 
 use std::time::Duration;
 
-use super::sessions::Owner;
+use super::sessions::EntryState;
 use super::{Gate, RunState};
 use crate::ephemeral::message::ProcessId;
 use crate::time::{Moment, micros};
@@ -13,7 +14,7 @@
 /// Longest wait while runs are queued or calls are in flight, or the worker leaves calls
 /// unanswered.
 const BUSY_PAUSE: Duration = Duration::from_millis(10);
-/// Longest wait otherwise; state expires after seconds.
+/// Longest wait otherwise; what remains expires after seconds.
 const IDLE_PAUSE: Duration = Duration::from_millis(50);
 
 impl Gate {
@@ -24,13 +25,13 @@
             true => IDLE_PAUSE,
             false => BUSY_PAUSE,
         };
-        let owners = self.owners.iter();
-        let due_us = owners.map(|(entry, owner)| self.owner_due_us(now, entry, owner));
+        let entries = self.entries.iter();
+        let due_us = entries.map(|(entry, state)| self.entry_due_us(now, entry, state));
         let next = due_us.min().map_or(longest, |due_us| now.left(due_us));
         next.min(longest)
     }
 
-    /// Whether all runs are running and the worker answers.
+    /// Whether all runs are running and the worker leaves no call unanswered.
     fn is_settled(&self) -> bool {
         let mut runs = self.runs.values();
         self.unclaimed.is_empty()
@@ -40,14 +41,14 @@
     }
 
     /// Time at which a load report to the entry is due or the entry expires.
-    fn owner_due_us(&self, now: Moment, entry: &ProcessId, owner: &Owner) -> u64 {
+    fn entry_due_us(&self, now: Moment, entry: &ProcessId, state: &EntryState) -> u64 {
         let silence = match self.has_active_runs(entry) {
             true => self.limits.peer_timeout,
             false => self.limits.idle_peer_timeout,
         };
-        let gone_us = owner.last_seen_us + micros(silence) + 1;
-        match owner.session {
-            Some(_) => gone_us.min(self.load_due_us(now, owner)),
+        let gone_us = state.last_seen_us + micros(silence) + 1;
+        match state.session {
+            Some(_) => gone_us.min(self.load_due_us(now, state)),
             None => gone_us,
         }
     }
--- a/src/ephemeral/gate/queue.rs
+++ b/src/ephemeral/gate/queue.rs
@@ -15,11 +15,12 @@
 pub(super) struct QueuePosition {
     pub priority: Priority,
     /// Latest start time, in monotonic microseconds.
-    pub due_us: u64,
+    pub latest_start_us: u64,
     pub run: RunId,
 }
 
 impl Gate {
+    /// Queues a run, or reports at once why it cannot run here.
     pub(super) fn admit(&mut self, now: Moment, owner: ProcessId, order: StartOrder) {
         let run = order.run;
         if let Some(ended) = self.ended_run(&owner, run) {
@@ -45,11 +46,11 @@
         self.health.set_by_median(order.by_median);
         let position = QueuePosition {
             priority: order.priority,
-            due_us: now.mono_us + order.due_us,
+            latest_start_us: now.mono_us + order.due_us,
             run,
         };
         let until_us = now.mono_us + order.patience_us;
-        let refusal = match order.implicated && self.has_implicated() {
+        let refusal = match order.implicated && self.has_implicated_run() {
             true => Some(NotRunReason::Apart),
             false => self.refusal(now),
         };
@@ -61,8 +62,8 @@
             movable: order.movable,
             implicated: order.implicated,
             leaves_headroom: order.leaves_headroom,
-            since_us: now.mono_us,
-            ordered_us: now.mono_us,
+            queued_or_started_us: now.mono_us,
+            first_start_us: now.mono_us,
             state: RunState::Queued { position, until_us },
             listed: false,
             last_sample: None,
@@ -84,9 +85,9 @@
         }
     }
 
-    /// Whether there is a run, of any entry, whose task lost a worker before. Two such runs
-    /// on one worker would both be blamed for its loss.
-    fn has_implicated(&self) -> bool {
+    /// Whether there is a run, of any entry, whose task has lost a worker before. If two such
+    /// runs shared a worker, its loss could not be attributed to one of them.
+    fn has_implicated_run(&self) -> bool {
         self.runs.values().any(|run| run.implicated)
     }
 
@@ -107,8 +108,8 @@
             .filter(|ended| ended.owner == *owner)
     }
 
-    /// Starts queued runs that fit, in queue order. Less urgent runs don't use room that a
-    /// more urgent one waits for, as large runs would starve.
+    /// Starts queued runs that fit, in queue order. If a run does not fit, less urgent ones
+    /// wait as well, or large runs would starve.
     pub(super) fn start_queued(&mut self, now: Moment) {
         let open = self.refusal(now).is_none() && self.unclaimed.is_empty();
         if !open || !self.incarnation.as_ref().is_some_and(Incarnation::is_ready) {
@@ -123,7 +124,7 @@
             let busy = self.health.is_suspect() && self.runs.values().any(Run::is_dispatched);
             let needs = self.runs[&position.run].needs;
             if busy
-                || !self.leaves_headroom(now, &position)
+                || !self.fits_with_headroom(now, &position)
                 || !self.room.try_reserve(position.run, needs)
             {
                 blocked.get_or_insert(position.priority);
@@ -134,15 +135,16 @@
         }
     }
 
-    /// Whether a run that starts now leaves the required headroom.
-    fn leaves_headroom(&self, now: Moment, position: &QueuePosition) -> bool {
+    /// Whether the run would leave the required headroom if it started now; `true` if none is
+    /// required, even if there is no room for the run.
+    fn fits_with_headroom(&self, now: Moment, position: &QueuePosition) -> bool {
         let cpu_milli = self.runs[&position.run].needs.cpu_milli;
-        let wanted = cpu_milli + self.headroom_of(now, position);
+        let wanted = cpu_milli + self.headroom_for_queued(now, position);
         wanted <= self.room.free().cpu_milli.max(cpu_milli)
     }
 
     /// Headroom that a queued run must leave, in thousandths of a core.
-    pub(super) fn headroom_of(&self, now: Moment, position: &QueuePosition) -> u64 {
+    pub(super) fn headroom_for_queued(&self, now: Moment, position: &QueuePosition) -> u64 {
         let record = &self.runs[&position.run];
         if !record.leaves_headroom {
             return 0;
@@ -164,7 +166,7 @@
 
     fn start_run(&mut self, now: Moment, run: RunId) {
         if let Some(record) = self.runs.get(&run) {
-            let waited_us = now.mono_us.saturating_sub(record.since_us);
+            let waited_us = now.mono_us.saturating_sub(record.queued_or_started_us);
             debug!(self.log, "run ordered"; "run" => %run, "waited_us" => waited_us,
                 "free_cpu_milli" => self.room.free().cpu_milli);
         }
@@ -178,11 +180,11 @@
         else {
             return;
         };
-        let asked_us = now.mono_us;
-        record.state = RunState::Starting { asked_us, resent };
-        record.since_us = now.mono_us;
+        let sent_us = now.mono_us;
+        record.state = RunState::Starting { sent_us, resent };
+        record.queued_or_started_us = now.mono_us;
         if resent == 0 {
-            record.ordered_us = now.mono_us;
+            record.first_start_us = now.mono_us;
         }
         record.last_sample = Some(ProgressSample::new(now.mono_us, 0));
         self.load_changed = true;
@@ -190,9 +192,9 @@
             worker: incarnation.id(),
             run,
             payload: record.payload.clone(),
-            lease_until_ms: incarnation.lease_until(now, lease),
+            lease_until_ms: incarnation.grant_lease(now, lease),
             fence: incarnation.fence.unwrap_or(0),
-            timeout: self.answers.timeout(),
+            timeout: self.answer_times.timeout(),
         }));
     }
 
--- a/src/ephemeral/gate/restart.rs
+++ b/src/ephemeral/gate/restart.rs
@@ -3,8 +3,9 @@
 //! Calls address the worker by name, so a start meant for the previous incarnation may
 //! reach the next one, which accepts it unless it has seen a higher fencing token. The runs
 //! of the previous incarnation are therefore kept until the next one has seen the gate's
-//! new token and listed its runs. Listed runs continue; the others are stopped before they
-//! end. A worker under another name rejects such calls itself.
+//! new token and listed its runs. Listed runs continue; the others end once the next
+//! incarnation has acknowledged a stop. A worker under another name rejects such calls
+//! itself.
 
 use slog::info;
 
@@ -50,7 +51,7 @@
             .and_then(|incarnation| incarnation.traits.id.born_ms);
         self.reports_start_time |= reply.born_ms.is_some();
         match (expected, reply.born_ms) {
-            // An answer that rejects the token contains no lists.
+            // An answer that rejects the fencing token may lack the start time.
             (Some(_), None) if reply.fenced => AnsweredBy::Current,
             (Some(_), None) => AnsweredBy::Unknown,
             (expected, born_ms) if expected == born_ms => AnsweredBy::Current,
@@ -58,11 +59,11 @@
         }
     }
 
-    /// Keeps the runs for the next incarnation of the same name. `may_have_lease` is
-    /// whether the next one may have accepted a lease renewal meant for the previous one:
-    /// it compares the end with its own clock, which reads far less.
+    /// Keeps the runs for the next incarnation of the same name. `may_have_lease` is whether
+    /// it may have accepted a lease renewal meant for the previous one. As its clock has
+    /// started anew, such a lease lasts longer on it, up to the maximum lease.
     pub(super) fn begin_carry_over(&mut self, now: Moment, may_have_lease: bool) {
-        let may_start = self.runs.values().any(Run::is_unanswered);
+        let may_start = self.runs.values().any(Run::is_first_start_unanswered);
         let inherited_lease_us = match may_have_lease || may_start {
             true => lease_end_us(now.mono_us, self.limits.max_lease),
             false => 0,
@@ -73,8 +74,8 @@
         });
     }
 
-    /// Ends the carry-over; returns until when the adopted incarnation may hold a lease of
-    /// the previous one.
+    /// Ends the carry-over; returns the time until which the adopted incarnation may hold a
+    /// lease of the previous one, or 0.
     pub(super) fn take_inherited_lease(&mut self) -> u64 {
         self.carry_over
             .take()
@@ -97,7 +98,7 @@
                 cause,
                 began: true,
                 since_us,
-                asked_us: 0,
+                sent_us: 0,
                 acked_us: None,
             },
             _ => RunState::Claimed { began: true },
@@ -115,7 +116,7 @@
         self.carry_over = None;
         let kept: Vec<RunId> = self.runs.keys().copied().collect();
         for run in kept {
-            info!(self.log, "run ended: worker did not come back after restart"; "run" => %run);
+            info!(self.log, "ending run: no report from worker after its restart"; "run" => %run);
             self.end(now, run, RunEnd::Stopped);
         }
     }
--- a/src/ephemeral/gate/sessions.rs
+++ b/src/ephemeral/gate/sessions.rs
@@ -21,12 +21,12 @@
 
 /// An entry that has connected to this gate.
 #[derive(Debug)]
-pub(super) struct Owner {
+pub(super) struct EntryState {
     pub(super) session: Option<SessionId>,
     pub(super) last_seen_us: u64,
     /// Configuration version that the entry has.
     pub(super) config: u64,
-    /// Number of the last start received.
+    /// Number of the last start order received in this session.
     seen: u64,
     /// Arrival time of the first start that no load report has confirmed.
     unconfirmed_us: Option<u64>,
@@ -38,9 +38,9 @@
     stale: bool,
 }
 
-impl Owner {
-    fn new(now: Moment, session: SessionId) -> Owner {
-        Owner {
+impl EntryState {
+    fn new(now: Moment, session: SessionId) -> EntryState {
+        EntryState {
             session: Some(session),
             last_seen_us: now.mono_us,
             config: 0,
@@ -55,14 +55,14 @@
 
 impl Gate {
     /// Handles a message from an entry.
-    pub fn message(&mut self, now: Moment, session: SessionId, message: ToGate) {
+    pub fn handle_message(&mut self, now: Moment, session: SessionId, message: ToGate) {
         if let ToGate::Hello {
             entry,
             config,
             open,
         } = message
         {
-            self.hello(now, session, entry, config, open);
+            self.handle_hello(now, session, entry, config, open);
             return;
         }
         let Some(entry) = self.sessions.get(&session).cloned() else {
@@ -71,10 +71,10 @@
         };
         match message {
             ToGate::Start(order) => {
-                if let Some(owner) = self.owners.get_mut(&entry) {
-                    owner.seen = order.number;
-                    owner.unconfirmed_us.get_or_insert(now.mono_us);
-                    owner.last_busy_us = now.mono_us;
+                if let Some(state) = self.entries.get_mut(&entry) {
+                    state.seen = order.number;
+                    state.unconfirmed_us.get_or_insert(now.mono_us);
+                    state.last_busy_us = now.mono_us;
                 }
                 self.admit(now, entry, *order);
             }
@@ -87,15 +87,15 @@
         }
     }
 
-    /// Records that a message arrived on a session.
-    pub fn heard(&mut self, now: Moment, session: SessionId) {
+    /// Records that a frame arrived on a session.
+    pub fn frame_received(&mut self, now: Moment, session: SessionId) {
         let entry = self.sessions.get(&session);
-        if let Some(owner) = entry.and_then(|entry| self.owners.get_mut(entry)) {
-            owner.last_seen_us = now.mono_us;
+        if let Some(state) = entry.and_then(|entry| self.entries.get_mut(entry)) {
+            state.last_seen_us = now.mono_us;
         }
     }
 
-    fn hello(
+    fn handle_hello(
         &mut self,
         now: Moment,
         session: SessionId,
@@ -106,8 +106,8 @@
         info!(self.log, "entry connected"; "entry" => &*entry.name,
             "incarnation" => entry.incarnation, "open_runs" => open.len());
         self.expire_earlier_incarnations(now, &entry);
-        let owner = Owner::new(now, session);
-        if let Some(before) = self.owners.insert(entry.clone(), owner)
+        let state = EntryState::new(now, session);
+        if let Some(before) = self.entries.insert(entry.clone(), state)
             && let Some(old) = before.session
         {
             self.sessions.remove(&old);
@@ -127,7 +127,7 @@
 
     fn expire_earlier_incarnations(&mut self, now: Moment, entry: &ProcessId) {
         let earlier: Vec<ProcessId> = self
-            .owners
+            .entries
             .keys()
             .filter(|owner| owner.name == entry.name && *owner != entry)
             .cloned()
@@ -154,6 +154,7 @@
         }
     }
 
+    /// Takes over a run that an entry claims, or reports how it ended.
     fn claim(&mut self, now: Moment, entry: &ProcessId, claimed: &OpenRun) {
         let run = claimed.run;
         if let Some(record) = self.runs.get(&run) {
@@ -171,12 +172,13 @@
             .incarnation
             .as_ref()
             .is_some_and(|incarnation| incarnation.listed);
-        let adopted = self.unclaimed.remove(&run).is_some();
+        let was_unclaimed = self.unclaimed.remove(&run).is_some();
         // A previous incarnation of this gate may have started and ended it.
         let began = claimed.sent_to != self.me.incarnation;
-        if listed && !adopted && !began {
-            // Ended runs are retained for longer than a session may be silent, and messages
-            // from an earlier connection are discarded.
+        if listed && !was_unclaimed && !began {
+            // The start order was lost and cannot arrive any more: ended runs are retained for
+            // longer than a session may be silent, and messages from an earlier connection are
+            // discarded.
             info!(self.log, "claimed run is unknown"; "run" => %run, "entry" => &*entry.name);
             let end = RunEnd::NotRun(NotRunReason::Lost);
             self.send(
@@ -189,18 +191,19 @@
             );
             return;
         }
-        let state = match (listed, adopted) {
+        let state = match (listed, was_unclaimed) {
             (false, _) => RunState::Claimed { began },
             (true, true) => RunState::Running,
             (true, false) => RunState::Stopping {
                 cause: StopCause::Unanswered,
                 began,
                 since_us: now.mono_us,
-                asked_us: now.mono_us,
+                sent_us: now.mono_us,
                 acked_us: None,
             },
         };
-        info!(self.log, "run claimed"; "run" => %run, "entry" => &*entry.name, "runs" => adopted);
+        info!(self.log, "run claimed"; "run" => %run, "entry" => &*entry.name,
+            "unclaimed" => was_unclaimed);
         let record = Run {
             owner: entry.clone(),
             needs: claimed.needs,
@@ -209,8 +212,8 @@
             movable: false,
             implicated: false,
             leaves_headroom: false,
-            since_us: now.mono_us,
-            ordered_us: 0,
+            queued_or_started_us: now.mono_us,
+            first_start_us: 0,
             state,
             listed: false,
             last_sample: None,
@@ -224,42 +227,42 @@
         }
     }
 
-    /// Handles the end of a session; the entry may reconnect until its silence limit.
+    /// Handles the end of a session; the entry may reconnect until it expires.
     pub fn session_closed(&mut self, session: SessionId) {
         let Some(entry) = self.sessions.remove(&session) else {
             return;
         };
-        if let Some(owner) = self.owners.get_mut(&entry)
-            && owner.session == Some(session)
+        if let Some(state) = self.entries.get_mut(&entry)
+            && state.session == Some(session)
         {
             info!(self.log, "entry disconnected"; "entry" => &*entry.name);
-            owner.session = None;
+            state.session = None;
         }
     }
 
-    /// Whether the entry has sent anything within the silence limit.
+    /// Whether the entry has sent a frame within the peer timeout.
     pub(super) fn is_entry_alive(&self, now: Moment, entry: &ProcessId) -> bool {
         let silence_us = micros(self.limits.peer_timeout);
-        let owner = self.owners.get(entry);
-        owner.is_some_and(|owner| now.mono_us <= owner.last_seen_us + silence_us)
+        let state = self.entries.get(entry);
+        state.is_some_and(|state| now.mono_us <= state.last_seen_us + silence_us)
     }
 
-    /// Whether the entry has runs here that are not being stopped. It sends heartbeats at
-    /// the shorter interval while it has, and for the linger time afterwards.
+    /// Whether the entry has runs here that are not being stopped. Such an entry sends
+    /// heartbeats at the shorter interval, and does so for the linger time afterwards.
     pub(super) fn has_active_runs(&self, entry: &ProcessId) -> bool {
         let mut runs = self.runs.values();
         runs.any(|run| run.owner == *entry && !matches!(run.state, RunState::Stopping { .. }))
     }
 
     /// Expires entries that have been silent for too long and stops their runs.
-    pub(super) fn expire_owners(&mut self, now: Moment) {
+    pub(super) fn expire_entries(&mut self, now: Moment) {
         let idle_us = micros(self.limits.idle_peer_timeout);
         let silent: Vec<ProcessId> = self
-            .owners
+            .entries
             .iter()
-            .filter(|(entry, owner)| match self.has_active_runs(entry) {
+            .filter(|(entry, state)| match self.has_active_runs(entry) {
                 true => !self.is_entry_alive(now, entry),
-                false => now.mono_us > owner.last_seen_us + idle_us,
+                false => now.mono_us > state.last_seen_us + idle_us,
             })
             .map(|(entry, _)| entry.clone())
             .collect();
@@ -269,13 +272,13 @@
     }
 
     fn expire(&mut self, now: Moment, entry: &ProcessId, why: &str) {
-        let Some(owner) = self.owners.remove(entry) else {
+        let Some(state) = self.entries.remove(entry) else {
             return;
         };
-        let silent_ms = now.mono_us.saturating_sub(owner.last_seen_us) / 1_000;
+        let silent_ms = now.mono_us.saturating_sub(state.last_seen_us) / 1_000;
         info!(self.log, "entry expired"; "entry" => &*entry.name, "why" => why,
             "silent_ms" => silent_ms);
-        if let Some(session) = owner.session {
+        if let Some(session) = state.session {
             self.sessions.remove(&session);
             self.actions.push(GateAction::Close(session));
         }
@@ -291,7 +294,7 @@
     }
 
     pub(super) fn send(&mut self, entry: &ProcessId, message: ToEntry) {
-        let session = self.owners.get(entry).and_then(|owner| owner.session);
+        let session = self.entries.get(entry).and_then(|state| state.session);
         if let Some(session) = session {
             self.actions.push(GateAction::Send { session, message });
         }
@@ -300,14 +303,14 @@
     /// Sends load reports: along with other messages, to confirm a start, as a heartbeat,
     /// and in turn to busy entries when the load has changed.
     pub(super) fn send_loads(&mut self, now: Moment) {
-        self.update_owners(now);
+        self.update_entries(now);
         let recipients: HashSet<SessionId> = self.actions.iter().filter_map(recipient).collect();
         let mut due: Vec<ProcessId> = Vec::new();
-        for (entry, owner) in &self.owners {
-            let with_others = owner
+        for (entry, state) in &self.entries {
+            let with_others = state
                 .session
                 .is_some_and(|session| recipients.contains(&session));
-            if with_others && owner.stale || now.mono_us >= self.load_due_us(now, owner) {
+            if with_others && state.stale || now.mono_us >= self.load_due_us(now, state) {
                 due.push(entry.clone());
             }
         }
@@ -320,47 +323,47 @@
         }
     }
 
-    /// Updates which entries have runs here and which load reports are outdated.
-    fn update_owners(&mut self, now: Moment) {
+    /// Updates which entries are busy and whose load reports are outdated.
+    fn update_entries(&mut self, now: Moment) {
         let changed = std::mem::take(&mut self.load_changed);
         let busy: HashSet<&ProcessId> = self.runs.values().map(|run| &run.owner).collect();
-        for (entry, owner) in &mut self.owners {
-            owner.stale |= changed;
+        for (entry, state) in &mut self.entries {
+            state.stale |= changed;
             if busy.contains(entry) {
-                owner.last_busy_us = now.mono_us;
+                state.last_busy_us = now.mono_us;
             }
         }
     }
 
-    fn is_busy(&self, now: Moment, owner: &Owner) -> bool {
-        now.mono_us < owner.last_busy_us + micros(self.limits.linger)
+    fn is_busy(&self, now: Moment, state: &EntryState) -> bool {
+        now.mono_us < state.last_busy_us + micros(self.limits.linger)
     }
 
     /// Time at which a load report is due as a confirmation or heartbeat, in monotonic
     /// microseconds.
-    pub(super) fn load_due_us(&self, now: Moment, owner: &Owner) -> u64 {
-        let beat = match self.is_busy(now, owner) {
+    pub(super) fn load_due_us(&self, now: Moment, state: &EntryState) -> u64 {
+        let beat = match self.is_busy(now, state) {
             true => self.limits.heartbeat_interval,
             false => self.limits.idle_heartbeat_interval,
         };
-        let beat_us = owner.load_sent_us + micros(beat);
-        let confirm_us = owner
+        let beat_us = state.load_sent_us + micros(beat);
+        let confirm_us = state
             .unconfirmed_us
-            .map(|came_us| came_us + CONFIRM_DELAY_US);
+            .map(|arrived_us| arrived_us + CONFIRM_DELAY_US);
         confirm_us.map_or(beat_us, |confirm_us| beat_us.min(confirm_us))
     }
 
-    /// The busy entry whose load report is outdated for the longest time, if one may be
+    /// The busy entry whose load report is the oldest of the outdated ones, if a report may be
     /// sent now.
     fn next_load_recipient(&mut self, now: Moment) -> Option<ProcessId> {
         if now.mono_us < self.load_sent_us + LOAD_INTERVAL_US {
             return None;
         }
-        let waiting = self.owners.iter().filter(|(_, owner)| {
-            owner.stale && owner.session.is_some() && self.is_busy(now, owner)
+        let waiting = self.entries.iter().filter(|(_, state)| {
+            state.stale && state.session.is_some() && self.is_busy(now, state)
         });
         let next = waiting
-            .min_by_key(|(_, owner)| owner.load_sent_us)?
+            .min_by_key(|(_, state)| state.load_sent_us)?
             .0
             .clone();
         self.load_sent_us = now.mono_us;
@@ -368,14 +371,14 @@
     }
 
     fn send_load(&mut self, now: Moment, entry: &ProcessId, load: &GateLoad) {
-        let Some(owner) = self.owners.get_mut(entry) else {
+        let Some(state) = self.entries.get_mut(entry) else {
             return;
         };
-        owner.load_sent_us = now.mono_us;
-        owner.stale = false;
-        owner.unconfirmed_us = None;
+        state.load_sent_us = now.mono_us;
+        state.stale = false;
+        state.unconfirmed_us = None;
         let load = GateLoad {
-            seen: owner.seen,
+            seen: state.seen,
             ..load.clone()
         };
         self.send(entry, ToEntry::Load(load));
--- a/src/ephemeral/gate/speed.rs
+++ b/src/ephemeral/gate/speed.rs
@@ -1,14 +1,14 @@
-//! Speed of a worker as a median over its runs. The median, unlike the mean, is insensitive
-//! to the few tasks that run several times as long as expected.
+//! Speed of a worker, as the median ratio of actual to expected run time. The median, unlike
+//! the mean, is insensitive to the few tasks that take several times as long as expected.
 
 use std::collections::VecDeque;
 use std::time::Duration;
 
 use crate::time::{Moment, micros};
 
-/// Samples of the baseline.
+/// Number of samples in the baseline.
 const BASELINE_RUNS: usize = 63;
-/// Samples of the recent speed.
+/// Number of samples in the recent speed.
 const RECENT_RUNS: usize = 11;
 /// Minimum samples for a median.
 const MIN_RUNS: usize = 3;
--- a/src/ephemeral/gate/worker_incarnations.rs
+++ b/src/ephemeral/gate/worker_incarnations.rs
@@ -1,9 +1,9 @@
 //! Tracks the incarnations of the worker: discovery, replacement, loss and lease expiry.
 //!
-//! A report of another incarnation may be newer than the current one or a delayed report of
-//! an earlier one, and start times don't decide, as clocks may be set back. The gate keeps
-//! such a report as the successor and adopts it only once the current incarnation is known
-//! to have ended. Otherwise it would release room that is still in use.
+//! A report of another incarnation may come from a newer one, or be a delayed report of an
+//! earlier one. Start times cannot settle this, as clocks may be set back. The gate keeps the
+//! reported incarnation as the successor and adopts it only once the current one is known to
+//! have ended. Otherwise it would release room that is still in use.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -23,8 +23,8 @@
 /// Consecutive unanswered calls from which the worker counts as unresponsive, together with
 /// [`UNRESPONSIVE_AFTER`]; single messages get lost.
 pub(super) const UNRESPONSIVE_MISSES: u32 = 3;
-/// Time without an answer after which the worker counts as unresponsive; allows for three
-/// lost calls in sequence.
+/// Time without an answer after which the worker counts as unresponsive, together with
+/// [`UNRESPONSIVE_MISSES`]; three calls in sequence may be lost.
 const UNRESPONSIVE_AFTER: Duration = Duration::from_millis(120);
 /// Number of past incarnations whose delayed reports are recognised.
 const MAX_PAST_INCARNATIONS: usize = 16;
@@ -106,8 +106,8 @@
         }
     }
 
-    /// Handles a report of an incarnation other than the current one; returns `true` if it
-    /// was adopted, as there is no current one.
+    /// Handles a report of an incarnation other than the current one. Adopts it and returns
+    /// `true` if there is no current one.
     fn consider_incarnation(&mut self, now: Moment, report: &WorkerReport) -> bool {
         if self.past_incarnations.contains(&report.id) {
             info!(self.log, "ignored report of past incarnation"; "worker" => %report.id,
@@ -136,8 +136,8 @@
         self.adopt_incarnation(now, &report.record());
     }
 
-    /// Drops a successor that was reported before `asked_us`, as the current incarnation
-    /// has answered a call of that time. An incarnation that is leaving may still have a
+    /// Drops a successor that was reported before `asked_us`, the time of a call that the
+    /// current incarnation has answered. A current incarnation that is leaving keeps its
     /// successor.
     pub(super) fn dismiss_successor(&mut self, asked_us: u64) {
         let stays = self
@@ -165,7 +165,7 @@
         let over = self
             .incarnation
             .as_ref()
-            .is_some_and(|incarnation| incarnation.lease_is_over(now, lease));
+            .is_some_and(|incarnation| incarnation.is_lease_expired(now, lease));
         if over && self.successor.is_some() && self.is_unresponsive(now) {
             if self.is_restart() {
                 self.begin_carry_over(now, true);
@@ -202,7 +202,7 @@
     }
 
     /// Adopts the worker recorded by a previous gate on this machine, unless one is known.
-    /// Its answers tell if it has been replaced meanwhile.
+    /// Its answers show whether it has been replaced meanwhile.
     pub fn restore_worker(&mut self, now: Moment, worker: &WorkerRecord) {
         if self.incarnation.is_some() {
             return;
@@ -232,7 +232,7 @@
     /// Handles a worker's announcement that it ends.
     pub fn worker_left(&mut self, now: Moment, id: &WorkerId) {
         if self.lacks_start_time(id) {
-            // It may concern an earlier incarnation; the next poll tells.
+            // It may concern an earlier incarnation; the next poll shows whether it does.
             self.check_wanted = true;
             return;
         }
@@ -310,7 +310,7 @@
         let Some(incarnation) = &self.incarnation else {
             return;
         };
-        if !incarnation.lease_is_over(now, self.limits.lease) {
+        if !incarnation.is_lease_expired(now, self.limits.lease) {
             return;
         }
         let dispatched: Vec<RunId> = self
@@ -319,7 +319,7 @@
             .filter(|(_, record)| record.is_dispatched())
             .map(|(run, _)| *run)
             .collect();
-        // A worker that crashes may stop answering without any error.
+        // A crashed worker may stop answering without any error, so it may be lost.
         if !incarnation.leaving {
             let worker = incarnation.traits.id.clone();
             self.suspect_losses(now, &worker);
--- a/src/ephemeral/room.rs
+++ b/src/ephemeral/room.rs
@@ -10,7 +10,7 @@
 pub struct Room {
     capacity: Resources,
     used: Resources,
-    held: HashMap<RunId, Resources>,
+    reservations: HashMap<RunId, Resources>,
 }
 
 impl Room {
@@ -41,7 +41,7 @@
 
     /// Reserves room for a run that is already on the worker, even if it does not fit.
     pub fn reserve(&mut self, run: RunId, needs: Resources) {
-        if let Some(before) = self.held.insert(run, needs) {
+        if let Some(before) = self.reservations.insert(run, needs) {
             self.used = self.used.minus(&before);
         }
         self.used = self.used.plus(&needs);
@@ -49,7 +49,7 @@
 
     /// Releases the reservation of `run`.
     pub fn release(&mut self, run: RunId) {
-        if let Some(needs) = self.held.remove(&run) {
+        if let Some(needs) = self.reservations.remove(&run) {
             self.used = self.used.minus(&needs);
         }
     }
--- a/src/ephemeral/scheduling.rs
+++ b/src/ephemeral/scheduling.rs
@@ -4,7 +4,7 @@
 /// Features of the scheduler.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Scheduling {
-    /// Each priority goes before the next, not only the most urgent before all others.
+    /// All priorities are ordered; otherwise only the most urgent one goes before the others.
     pub priority_classes: bool,
     /// Gates keep room free for runs that are more urgent than the one to start.
     pub headroom: bool,
@@ -13,7 +13,8 @@
     pub deferral: bool,
     /// Under load, kinds of jobs that exceed their usual demand are refused first.
     pub fair_shares: bool,
-    /// Placement uses the speed of each worker, separated from long tasks.
+    /// Placement uses the speed of each worker, measured such that the few long tasks do not
+    /// distort it.
     pub worker_speeds: bool,
     /// An overloaded entry refuses jobs that it would answer late.
     pub lag_limit: bool,
--- a/src/ephemeral/worker.rs
+++ b/src/ephemeral/worker.rs
@@ -94,7 +94,7 @@
 /// Answer to a start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StartReply {
-    /// The run is running; also if it was started before.
+    /// The run is running, whether through this call or an earlier one.
     Running,
     /// Not started: the run was stopped, or is not newer than an earlier one.
     Stale,
@@ -129,17 +129,17 @@
 
 impl PollCall {
     /// Total timeout of the call.
-    pub fn longest_wait(&self) -> Duration {
+    pub fn total_timeout(&self) -> Duration {
         Duration::from_millis(self.wait_ms) + self.timeout
     }
 }
 
-/// A running run.
+/// A run that the worker lists as running.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RunningRow {
     /// The run.
     pub run: RunId,
-    /// Progress.
+    /// Progress, in percent.
     pub percent: u32,
 }
 
@@ -156,7 +156,7 @@
     LeaseExpired,
 }
 
-/// An ended run.
+/// A run that the worker lists as ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EndedRow {
     /// Sequence number of the end within this incarnation.
@@ -190,7 +190,7 @@
         Refused {
             display("worker address refuses connections")
         }
-        /// No answer; the call may be carried out, also later.
+        /// No answer; the call may have been carried out, or may be carried out later.
         Unanswered {
             display("no answer; the call may still be carried out")
         }
--- a/tests/ephemeral_config_exchange.rs
+++ b/tests/ephemeral_config_exchange.rs
@@ -276,7 +276,9 @@
 }
 
 fn tell(bench: &mut gate_bench::Bench, session: u64, message: ToGate) {
-    bench.gate.message(bench.now, SessionId(session), message);
+    bench
+        .gate
+        .handle_message(bench.now, SessionId(session), message);
     bench.collect();
 }
 
--- a/tests/ephemeral_evacuation.rs
+++ b/tests/ephemeral_evacuation.rs
@@ -30,7 +30,7 @@
     bench.order(run(1), 600, 100);
     bench.started(run(1), Ok(StartReply::Running));
     bench.order(run(2), 600, 100);
-    bench.gate.evacuate(bench.now, true);
+    bench.gate.set_evacuated(bench.now, true);
     bench.collect();
     bench.order(run(3), 100, 100);
     assert_eq!(bench.ordered(), [run(1)]);
@@ -40,7 +40,7 @@
     assert_eq!(load.free.cpu_milli, 0);
     bench.lists(vec![], vec![(1, run(1), WorkerEnd::Done)]);
     assert!(bench.ends().contains(&(run(1), RunEnd::Done)));
-    bench.gate.evacuate(bench.now, false);
+    bench.gate.set_evacuated(bench.now, false);
     bench.collect();
     bench.order(run(4), 100, 100);
     assert_eq!(bench.ordered().last(), Some(&run(4)));
@@ -52,7 +52,7 @@
 fn a_start_without_an_answer_is_not_sent_again() {
     let mut bench = GateBench::ready();
     bench.order(run(1), 100, 100);
-    bench.gate.evacuate(bench.now, true);
+    bench.gate.set_evacuated(bench.now, true);
     bench.collect();
     bench.started(run(1), Err(WorkerCallError::Unanswered));
     assert_eq!(bench.ordered(), [run(1)], "once");
@@ -62,12 +62,12 @@
 #[test]
 fn a_gate_that_starts_waits_a_moment_for_the_first_read() {
     let mut bench = GateBench::ready();
-    bench.gate.expect_evacuation(bench.now);
+    bench.gate.await_evacuation_state(bench.now);
     bench.order(run(1), 100, 100);
     assert_eq!(bench.ends(), [(run(1), EVACUATED)]);
-    bench.gate.heard(bench.now, gate_bench::ENTRY);
+    bench.gate.frame_received(bench.now, gate_bench::ENTRY);
     bench.pass(310);
-    bench.gate.heard(bench.now, gate_bench::ENTRY);
+    bench.gate.frame_received(bench.now, gate_bench::ENTRY);
     bench.order(run(2), 100, 100);
     assert_eq!(bench.ordered(), [run(2)], "the store may be away");
 }
--- a/tests/ephemeral_fleet/gates.rs
+++ b/tests/ephemeral_fleet/gates.rs
@@ -117,9 +117,11 @@
                     break;
                 };
                 for message in messages {
-                    process.gate.message(now, connection.gate_session, message);
+                    process
+                        .gate
+                        .handle_message(now, connection.gate_session, message);
                 }
-                process.gate.heard(now, connection.gate_session);
+                process.gate.frame_received(now, connection.gate_session);
             }
             if link.closed && link.frames.is_empty() {
                 lost.push(connection.gate_session);
--- a/tests/ephemeral_fleet/mod.rs
+++ b/tests/ephemeral_fleet/mod.rs
@@ -316,7 +316,7 @@
         let me = self.next_life(&format!("gate-{index}"));
         let mut gate = Gate::new(me, self.limits, logging::discard());
         gate.restore_losses(self.recorded[index].clone());
-        gate.expect_evacuation(self.gate_moment(index));
+        gate.await_evacuation_state(self.gate_moment(index));
         self.gates[index] = Some(GateProcess {
             gate,
             frozen_until_us: 0,
@@ -343,7 +343,7 @@
         let heard_us = self.evacuated.get(&index);
         let evacuated = heard_us.is_some_and(|heard_us| *heard_us <= self.now_us);
         if let Some(process) = &mut self.gates[index] {
-            process.gate.evacuate(now, evacuated);
+            process.gate.set_evacuated(now, evacuated);
         }
     }
 
--- a/tests/ephemeral_gate.rs
+++ b/tests/ephemeral_gate.rs
@@ -116,7 +116,7 @@
     bench.order(run(1), 600, 100);
     bench.started(run(1), Ok(StartReply::Running));
     let message = ToGate::Stop { run: run(1) };
-    bench.gate.message(bench.now, ENTRY, message);
+    bench.gate.handle_message(bench.now, ENTRY, message);
     bench.collect();
     bench.pass(100);
     bench.stopped(run(1), Err(WorkerCallError::Unanswered));
@@ -130,11 +130,11 @@
     bench.order(run(1), 600, 100);
     bench.started(run(1), Ok(StartReply::Running));
     let message = ToGate::Stop { run: run(1) };
-    bench.gate.message(bench.now, ENTRY, message);
+    bench.gate.handle_message(bench.now, ENTRY, message);
     bench.collect();
     bench.stopped(run(1), Err(WorkerCallError::Unanswered));
     assert_eq!(bench.stops(), [run(1)]);
-    bench.gate.heard(bench.now, ENTRY);
+    bench.gate.frame_received(bench.now, ENTRY);
     bench.pass(170);
     assert_eq!(bench.stops(), [run(1), run(1)]);
 }
@@ -198,7 +198,7 @@
     // Seed 3,059 of `ephemeral_safety`: gates that died one after the other each
     // prolonged a run whose entry was gone.
     assert_eq!(renewals.count(), 0, "an orphan is not prolonged");
-    bench.gate.heard(bench.now, ENTRY);
+    bench.gate.frame_received(bench.now, ENTRY);
     bench.pass(200);
     assert_eq!(bench.stops(), [run(7)]);
     bench.lists(Vec::new(), vec![(1, run(7), WorkerEnd::Stopped)]);
@@ -289,7 +289,7 @@
     bench.started(run(1), Ok(StartReply::Running));
     for _ in 0..3 {
         bench.pass(100);
-        bench.gate.heard(bench.now, ENTRY);
+        bench.gate.frame_received(bench.now, ENTRY);
     }
     bench.lists(vec![(run(1), 0)], Vec::new());
     assert_eq!(bench.stops(), [run(1)]);
@@ -307,7 +307,7 @@
     bench.started(run(1), Ok(StartReply::Running));
     for percent in 0..12 {
         for _ in 0..5 {
-            bench.gate.heard(bench.now, ENTRY);
+            bench.gate.frame_received(bench.now, ENTRY);
             bench.pass(60);
             bench.lists(vec![(run(1), percent)], Vec::new());
         }
@@ -322,7 +322,7 @@
     bench.started(run(1), Ok(StartReply::Running));
     for percent in [5, 6, 7, 8, 9] {
         bench.pass(100);
-        bench.gate.heard(bench.now, ENTRY);
+        bench.gate.frame_received(bench.now, ENTRY);
         bench.lists(vec![(run(1), percent)], Vec::new());
     }
     assert!(bench.stops().is_empty());
@@ -339,7 +339,7 @@
     let mut stopped_after_ms = 0;
     for percent in [4, 8, 12, 16] {
         bench.pass(40);
-        bench.gate.heard(bench.now, ENTRY);
+        bench.gate.frame_received(bench.now, ENTRY);
         bench.lists(runs.map(|run| (run, percent)).to_vec(), Vec::new());
         stopped_after_ms += 40;
         if !bench.stops().is_empty() {
@@ -357,7 +357,7 @@
     bench.started(run(1), Ok(StartReply::Running));
     for percent in [4, 8, 12, 16] {
         bench.pass(40);
-        bench.gate.heard(bench.now, ENTRY);
+        bench.gate.frame_received(bench.now, ENTRY);
         bench.lists(vec![(run(1), percent)], Vec::new());
     }
     assert!(bench.stops().is_empty());
@@ -421,7 +421,7 @@
     };
     bench.hello(vec![open]);
     let message = ToGate::Stop { run: run(7) };
-    bench.gate.message(bench.now, ENTRY, message);
+    bench.gate.handle_message(bench.now, ENTRY, message);
     bench.collect();
     bench.lists(vec![(run(7), 30)], Vec::new());
     bench.pass(170);
@@ -441,7 +441,7 @@
     }
     for percent in [4, 8, 12, 16] {
         bench.pass(40);
-        bench.gate.heard(bench.now, ENTRY);
+        bench.gate.frame_received(bench.now, ENTRY);
         bench.lists(runs.map(|run| (run, percent)).to_vec(), Vec::new());
     }
     assert!(bench.stops().is_empty());
--- a/tests/ephemeral_gate_turns.rs
+++ b/tests/ephemeral_gate_turns.rs
@@ -42,7 +42,7 @@
     bench.pass(10);
     bench.actions.clear();
     for _ in 0..300 {
-        bench.gate.heard(bench.now, ENTRY);
+        bench.gate.frame_received(bench.now, ENTRY);
         bench.pass(10);
     }
     let loads = loads_alone(&bench);
--- a/tests/ephemeral_losses.rs
+++ b/tests/ephemeral_losses.rs
@@ -61,7 +61,7 @@
     let mut bench = GateBench::ready();
     bench.order(run(1), 600, 100);
     bench.started(run(1), Ok(StartReply::Running));
-    bench.gate.heard(bench.now, gate_bench::ENTRY);
+    bench.gate.frame_received(bench.now, gate_bench::ENTRY);
     bench.pass(age_ms);
     bench
 }
@@ -134,7 +134,7 @@
     }
     for _ in 0..8 {
         assert!(bench.ends().is_empty() == told(&bench).is_empty());
-        bench.gate.heard(bench.now, gate_bench::ENTRY);
+        bench.gate.frame_received(bench.now, gate_bench::ENTRY);
         bench.pass(100);
     }
     assert_eq!(told(&bench), [possible(1, "w")]);
@@ -195,7 +195,7 @@
 fn what_a_lease_ended_unheard_is_lost_if_another_life_answers() {
     let mut bench = running(10);
     for _ in 0..9 {
-        bench.gate.heard(bench.now, gate_bench::ENTRY);
+        bench.gate.frame_received(bench.now, gate_bench::ENTRY);
         bench.pass(100);
     }
     assert_eq!(bench.ends(), [(run(1), RunEnd::Stopped)]);
@@ -209,14 +209,16 @@
     let mut bench = GateBench::ready();
     bench.gate.restore_losses(vec![loss(1, "w-0", true)]);
     let heard = ToGate::Losses(vec![loss(2, "w-1", false)]);
-    bench.gate.message(bench.now, gate_bench::ENTRY, heard);
+    bench
+        .gate
+        .handle_message(bench.now, gate_bench::ENTRY, heard);
     assert!(told(&bench).is_empty(), "it is not told what it said");
     let hello = ToGate::Hello {
         entry: process("e-2", 1),
         config: 0,
         open: Vec::new(),
     };
-    bench.gate.message(bench.now, SessionId(2), hello);
+    bench.gate.handle_message(bench.now, SessionId(2), hello);
     bench.collect();
     let both = [loss(1, "w-0", true), loss(2, "w-1", false)];
     assert_eq!(told(&bench), both);
--- a/tests/ephemeral_priority_classes.rs
+++ b/tests/ephemeral_priority_classes.rs
@@ -61,8 +61,8 @@
         number: bench.sent,
     };
     let message = ToGate::Start(Box::new(order));
-    bench.gate.message(bench.now, ENTRY, message);
-    bench.gate.heard(bench.now, ENTRY);
+    bench.gate.handle_message(bench.now, ENTRY, message);
+    bench.gate.frame_received(bench.now, ENTRY);
     bench.collect();
 }
 
@@ -110,7 +110,7 @@
     let mut bench = after_urgent_orders();
     for _ in 0..50 {
         bench.pass(100);
-        bench.gate.heard(bench.now, ENTRY);
+        bench.gate.frame_received(bench.now, ENTRY);
     }
     assert_eq!(send_all(&mut bench, 5, &LONG_ORDER).len(), 5);
 }
--- a/tests/ephemeral_restarts.rs
+++ b/tests/ephemeral_restarts.rs
@@ -167,7 +167,7 @@
 
     fn pass(&mut self, ms: u64) {
         for _ in 0..ms.div_ceil(10) {
-            self.bench.gate.heard(self.bench.now, ENTRY);
+            self.bench.gate.frame_received(self.bench.now, ENTRY);
             self.bench.pass(10);
             self.clock_ms += 10;
             self.answer();
--- a/tests/ephemeral_worker_life.rs
+++ b/tests/ephemeral_worker_life.rs
@@ -21,7 +21,7 @@
     let end = RunEnd::NotRun(NotRunReason::NoWorker);
     assert_eq!(bench.ends(), [(run(3), end)]);
     for _ in 0..8 {
-        bench.gate.heard(bench.now, ENTRY);
+        bench.gate.frame_received(bench.now, ENTRY);
         bench.pass(100);
     }
     let stopped = (run(1), RunEnd::Stopped);
@@ -164,7 +164,7 @@
     assert_eq!(bench.worker(), "w".into());
     assert!(bench.ends().is_empty());
     for _ in 0..8 {
-        bench.gate.heard(bench.now, ENTRY);
+        bench.gate.frame_received(bench.now, ENTRY);
         bench.pass(100);
     }
     assert_eq!(bench.ends(), [(run(1), RunEnd::Stopped)]);
@@ -216,7 +216,7 @@
         bench.started(run(job), Ok(StartReply::Running));
         bench
             .gate
-            .message(bench.now, ENTRY, ToGate::Stop { run: run(job) });
+            .handle_message(bench.now, ENTRY, ToGate::Stop { run: run(job) });
     }
     bench.collect();
     let started = |action: &GateAction| matches!(action, GateAction::Start(_));
@@ -238,7 +238,7 @@
                 _ => {}
             }
         }
-        bench.gate.heard(bench.now, ENTRY);
+        bench.gate.frame_received(bench.now, ENTRY);
         bench.pass(5);
         let now = bench.now;
         for (_, sent, call) in holds.extract_if(.., |(due_us, ..)| *due_us <= now.mono_us) {
--- a/tests/ephemeral_worker_speeds.rs
+++ b/tests/ephemeral_worker_speeds.rs
@@ -41,7 +41,7 @@
 
 fn listed(bench: &mut Bench, after_ms: u64, running: &[(RunId, u32)]) {
     bench.pass(after_ms);
-    bench.gate.heard(bench.now, ENTRY);
+    bench.gate.frame_received(bench.now, ENTRY);
     bench.lists(running.to_vec(), Vec::new());
 }
 
@@ -53,7 +53,7 @@
         bench.started(run(number), Ok(StartReply::Running));
         for _ in 0..run_ms / 50 {
             bench.pass(50);
-            bench.gate.heard(bench.now, ENTRY);
+            bench.gate.frame_received(bench.now, ENTRY);
         }
         let ended = vec![(number, run(number), WorkerEnd::Done)];
         bench.lists(Vec::new(), ended);
@@ -89,7 +89,7 @@
     assert_eq!(after_runs(&mut bench, 1, slow), 200);
     for _ in 0..250 {
         bench.pass(100);
-        bench.gate.heard(bench.now, ENTRY);
+        bench.gate.frame_received(bench.now, ENTRY);
     }
     bench.order(run(99), 100, 100);
     assert_eq!(bench.last_load().slowness_percent, 100);
--- a/tests/gate_bench/mod.rs
+++ b/tests/gate_bench/mod.rs
@@ -144,7 +144,7 @@
             config: 0,
             open,
         };
-        self.gate.message(self.now, ENTRY, hello);
+        self.gate.handle_message(self.now, ENTRY, hello);
         self.collect();
     }
 
@@ -180,8 +180,8 @@
             number: self.sent,
         };
         let message = ToGate::Start(Box::new(order));
-        self.gate.message(self.now, ENTRY, message);
-        self.gate.heard(self.now, ENTRY);
+        self.gate.handle_message(self.now, ENTRY, message);
+        self.gate.frame_received(self.now, ENTRY);
         self.collect();
     }
 
--- a/tests/large_fleet/gates.rs
+++ b/tests/large_fleet/gates.rs
@@ -46,9 +46,9 @@
         };
         if let Some(side) = &mut self.gates[gate] {
             for message in flight.messages {
-                side.gate.message(now, flight.session, message);
+                side.gate.handle_message(now, flight.session, message);
             }
-            side.gate.heard(now, flight.session);
+            side.gate.frame_received(now, flight.session);
         }
     }
 
--- a/tests/narrow_links/mod.rs
+++ b/tests/narrow_links/mod.rs
@@ -213,9 +213,9 @@
                     break;
                 }
                 for message in messages {
-                    gate.message(now, session.id, message);
+                    gate.handle_message(now, session.id, message);
                 }
-                gate.heard(now, session.id);
+                gate.frame_received(now, session.id);
             }
             let dispatcher = &mut self.entries[session.entry].dispatcher;
             while let Some((age_us, messages)) = session.to_entry.arrived(now) {
--- a/tests/suspended_machine.rs
+++ b/tests/suspended_machine.rs
@@ -39,7 +39,7 @@
     let mut suspension = Suspension::new(timer.now());
     assert_eq!(frames.age_us(timer.now(), 10 * SECOND_US), 0);
     clock.pass(5 * SECOND_US);
-    let gap = suspension.turn(timer.now());
+    let gap = suspension.record_turn(timer.now());
     assert_eq!(gap, Some(Duration::from_secs(5)));
     let age_us = frames.age_us(timer.now(), 11 * SECOND_US);
     assert_eq!(age_us, 4 * SECOND_US);
