--- a/src/agent/mod.rs
+++ b/src/agent/mod.rs
@@ -1,8 +1,7 @@
-//! The agent: one process beside each target.
+//! Agent: the process beside each target, which is its gate and the owner of some ranges.
 //!
-//! It is the gate of its target and the owner of some key ranges. One loop
-//! takes events in batches, lets the state machines decide, carries out what
-//! they ask for, and sends what collected as one frame for each peer.
+//! One loop reads events in batches, passes them to the state machines, performs the actions
+//! that these return, and sends one frame to each peer.
 
 mod rows;
 
@@ -31,35 +30,35 @@
 use crate::time::{Moment, Timer};
 use crate::worker::{Control, Run, Worker};
 
-/// Most events that are handled before frames leave.
-const BATCH: usize = 512;
-/// Time for the last frames to leave.
-const LAST_FRAMES: Duration = Duration::from_millis(100);
-/// Time after the deadline by which a worker must have answered.
+/// Maximum number of events handled before frames are sent.
+const MAX_BATCH_EVENTS: usize = 512;
+/// Delay at the end of a stop, to send the last frames.
+const FINAL_FRAMES_DELAY: Duration = Duration::from_millis(100);
+/// Time after the deadline within which the worker must answer.
 const RUN_GRACE: Duration = Duration::from_millis(1_000);
 
-/// What an agent is built from.
+/// Parameters of an agent.
 pub struct AgentParts {
-    /// Its settings.
+    /// Settings of the process.
     pub settings: AgentSettings,
     /// The platform's store.
     pub store: Arc<dyn Store>,
-    /// The worker behind its target.
+    /// Runs tasks on the target.
     pub worker: Arc<dyn Worker>,
     /// Clocks and timers.
     pub timer: Timer,
-    /// Where it logs.
+    /// Logger.
     pub log: Logger,
-    /// Where its metrics go.
+    /// Metrics sink.
     pub metrics: Metrics,
-    /// Distance to peers.
-    pub distance: Arc<dyn LinkDelay>,
+    /// Artificial delay of links to peers.
+    pub link_delay: Arc<dyn LinkDelay>,
     /// Seed of its random choices.
     pub seed: u64,
 }
 
 impl AgentParts {
-    /// An agent's usual parts around its settings.
+    /// Parameters without metrics and link delay, with a random seed.
     pub fn new(
         settings: AgentSettings,
         store: Arc<dyn Store>,
@@ -74,7 +73,7 @@
             timer,
             log,
             metrics: Metrics::none(),
-            distance: Arc::new(NoDelay),
+            link_delay: Arc::new(NoDelay),
             seed: rand::random(),
         }
     }
@@ -105,7 +104,7 @@
     }
 }
 
-/// An agent that has its port and is ready to run.
+/// Agent with a bound port, ready to run.
 pub struct Agent {
     core: Core,
     listener: TcpListener,
@@ -121,21 +120,21 @@
     store: Arc<dyn Store>,
     worker: Arc<dyn Worker>,
     tx: UnboundedSender<Event>,
-    left: bool,
+    has_left: bool,
 }
 
 impl Agent {
-    /// Binds the port and builds the parts.
+    /// Binds the port.
     pub async fn bind(parts: AgentParts) -> Result<Agent> {
         let settings = parts.settings;
         let listener = TcpListener::bind(settings.process.peer_listen).await?;
         let addr = listener.local_addr()?;
         let me = MemberId::new(&settings.process.name, rand::random());
         let (link_tx, link_events) = unbounded_channel();
-        let links = Links::new(me.clone(), parts.timer.clone(), parts.distance, link_tx);
+        let links = Links::new(me.clone(), parts.timer.clone(), parts.link_delay, link_tx);
         let (tx, events) = unbounded_channel();
         let fleet = Fleet::new(Config::empty());
-        let record = record(&me, addr, &settings);
+        let record = member_record(&me, addr, &settings);
         let member = Member::new(record, &fleet, parts.seed);
         let core = Core {
             node: Node::new(
@@ -151,7 +150,7 @@
             store: parts.store,
             worker: parts.worker,
             tx,
-            left: false,
+            has_left: false,
         };
         Ok(Agent {
             core,
@@ -162,28 +161,28 @@
         })
     }
 
-    /// Where peers reach it.
+    /// Address for peers.
     pub fn addr(&self) -> SocketAddr {
         self.addr
     }
 
-    /// Counts of its messages.
+    /// Counters of sent messages.
     pub fn message_counters(&self) -> Arc<MessageCounters> {
         self.core.node.message_counters.clone()
     }
 
-    /// Runs until `stop`, then leaves the fleet in order.
+    /// Runs until `stop`, then leaves the fleet gracefully.
     pub async fn run(self, stop: Stop) -> Result<()> {
         let core = self.core;
         let (timer, log) = (core.node.timer.clone(), core.node.log.clone());
         let links = core.node.links.clone();
-        let mut tree = Supervisor::new(log.clone(), timer.clone());
+        let mut supervisor = Supervisor::new(log.clone(), timer.clone());
         let (listener, tx) = (self.listener, core.tx.clone());
-        tree.vital("peers", async move {
+        supervisor.vital("peers", async move {
             links.serve(listener, std::future::pending()).await
         });
         let (store, watch_timer, watch_tx) = (core.store.clone(), timer.clone(), tx.clone());
-        tree.restarting("watch", move || {
+        supervisor.restarting("watch", move || {
             let watch = watch_store(
                 store.clone(),
                 watch_timer.clone(),
@@ -196,12 +195,12 @@
             }
         });
         tokio::spawn(forward_events(timer, self.link_events, stop, tx));
-        tree.vital("core", core.run(self.events));
-        tree.run().await
+        supervisor.vital("core", core.run(self.events));
+        supervisor.run().await
     }
 }
 
-fn record(me: &MemberId, addr: SocketAddr, settings: &AgentSettings) -> MemberRecord {
+fn member_record(me: &MemberId, addr: SocketAddr, settings: &AgentSettings) -> MemberRecord {
     MemberRecord {
         id: me.clone(),
         session: 1,
@@ -217,9 +216,9 @@
 
 impl Core {
     async fn run(mut self, mut events: UnboundedReceiver<Event>) -> Result<()> {
-        let mut batch = Vec::with_capacity(BATCH);
-        while !self.left {
-            if events.recv_many(&mut batch, BATCH).await == 0 {
+        let mut batch = Vec::with_capacity(MAX_BATCH_EVENTS);
+        while !self.has_left {
+            if events.recv_many(&mut batch, MAX_BATCH_EVENTS).await == 0 {
                 break;
             }
             let now = self.node.timer.now();
@@ -229,7 +228,7 @@
             }
             self.flush(now);
         }
-        self.node.timer.sleep(LAST_FRAMES).await;
+        self.node.timer.sleep(FINAL_FRAMES_DELAY).await;
         info!(self.node.log, "stopped");
         Ok(())
     }
@@ -250,15 +249,15 @@
         }
     }
 
-    /// Sends what collected; messages to this process itself come first.
+    /// Handles messages to this process, then sends the collected frames.
     fn flush(&mut self, now: Moment) {
         loop {
-            let own = self.node.take_local_messages();
-            if own.is_empty() {
+            let local_messages = self.node.take_local_messages();
+            if local_messages.is_empty() {
                 break;
             }
             let me = self.node.me.clone();
-            for message in own {
+            for message in local_messages {
                 self.on_message(now, &me, message);
                 self.apply(now);
             }
@@ -280,14 +279,14 @@
                     self.node.request_snapshot(now, &member);
                 }
             }
-            LinkEvent::Down(member) => self.redial(&member),
+            LinkEvent::Down(member) => self.dial(&member),
             LinkEvent::Ended(member) => {
                 self.member.member_ended(now, &self.node.fleet, &member);
             }
         }
     }
 
-    fn redial(&mut self, member: &MemberId) {
+    fn dial(&mut self, member: &MemberId) {
         if let Some(record) = self.node.fleet.member_record(member) {
             self.node.links.dial(member, record.peer);
         }
@@ -312,8 +311,8 @@
                 self.node.send(from, Message::Snapshot(snapshot));
             }
             Message::Snapshot(snapshot) => {
-                let news = self.node.apply_snapshot(*snapshot);
-                self.on_news(now, news);
+                let changes = self.node.apply_snapshot(*snapshot);
+                self.on_fleet_changes(now, changes);
             }
             Message::RowsRequest {
                 request,
@@ -331,8 +330,8 @@
         match reply {
             Ok(StoreReply::Entries { revision, entries }) => {
                 self.member.ownership.on_store_synced(now);
-                let news = self.node.apply_entries(revision, &entries);
-                self.on_news(now, news);
+                let changes = self.node.apply_entries(revision, &entries);
+                self.on_fleet_changes(now, changes);
             }
             _ => {
                 self.member.ownership.on_store_failure(now);
@@ -341,20 +340,20 @@
         }
     }
 
-    fn on_news(&mut self, now: Moment, news: FleetChanges) {
-        self.member.on_news(now, &self.node.fleet, news);
-        if news.table || news.members {
+    fn on_fleet_changes(&mut self, now: Moment, changes: FleetChanges) {
+        self.member.on_news(now, &self.node.fleet, changes);
+        if changes.table || changes.members {
             self.dial_members();
         }
     }
 
-    /// Keeps one stream to each member: the later name dials the earlier.
+    /// Dials members with a smaller id only, so that each pair has one stream.
     fn dial_members(&mut self) {
         let me = self.node.me.clone();
         self.node.dial_members(|id| *id < me);
     }
 
-    /// Carries out what the member asks for.
+    /// Performs the actions of the member.
     fn apply(&mut self, now: Moment) {
         for action in self.member.take_actions() {
             match action {
@@ -372,19 +371,19 @@
                 }
                 MemberAction::Store { op, request } => self.call_store(op, request),
                 MemberAction::Table(table) => {
-                    let news = FleetChanges {
+                    let changes = FleetChanges {
                         table: self.node.fleet.apply_table(table),
                         ..FleetChanges::default()
                     };
-                    self.on_news(now, news);
+                    self.on_fleet_changes(now, changes);
                     self.apply(now);
                 }
                 MemberAction::Range { range, event } => {
-                    info!(self.node.log, "range"; "range" => range.0, "event" => event);
+                    info!(self.node.log, "range state changed"; "range" => range.0, "event" => event);
                 }
                 MemberAction::Left { by_limit } => {
-                    info!(self.node.log, "left"; "by_limit" => by_limit);
-                    self.left = true;
+                    info!(self.node.log, "left the fleet"; "by_limit" => by_limit);
+                    self.has_left = true;
                 }
             }
         }
--- a/src/agent/rows.rs
+++ b/src/agent/rows.rs
@@ -1,4 +1,4 @@
-//! Rows of operators' tables that an agent has.
+//! Rows of an agent for operators' tables.
 
 use bytes::Bytes;
 use serde_json::{Value, json};
@@ -8,11 +8,11 @@
 use crate::owner::submission::{Step, SubmissionRecord, TaskState};
 use crate::time::Moment;
 
-/// Most rows that one process sends for a table.
-const MOST_ROWS: usize = 5_000;
+/// Maximum number of rows per table and process.
+const MAX_ROWS: usize = 5_000;
 
 impl Core {
-    /// Rows of `table` as a JSON array.
+    /// Returns the rows of `table` as a JSON array.
     pub(super) fn rows(&self, now: Moment, table: &str, about: Option<SubmissionId>) -> Bytes {
         let rows: Vec<Value> = match table {
             "requests" => self.submission_rows(now, about, false),
@@ -28,49 +28,50 @@
         serde_json::to_vec(&rows).unwrap_or_default().into()
     }
 
-    fn entries(&self, about: Option<SubmissionId>) -> impl Iterator<Item = &SubmissionRecord> {
-        let entries = self.member.owner.submissions().values();
-        let wanted = entries.filter(move |entry| about.is_none_or(|id| entry.submission.id == id));
-        wanted.take(MOST_ROWS)
+    fn records(&self, about: Option<SubmissionId>) -> impl Iterator<Item = &SubmissionRecord> {
+        let records = self.member.owner.submissions().values();
+        let matching =
+            records.filter(move |record| about.is_none_or(|id| record.submission.id == id));
+        matching.take(MAX_ROWS)
     }
 
     fn submission_rows(&self, now: Moment, about: Option<SubmissionId>, jobs: bool) -> Vec<Value> {
-        let entries = self.entries(about);
-        let entries = entries.filter(|entry| entry.submission.is_job == jobs);
-        let row = |entry: &SubmissionRecord| {
-            let submission = &entry.submission;
-            let answer = entry.answer();
+        let records = self.records(about);
+        let records = records.filter(|record| record.submission.is_job == jobs);
+        let row = |record: &SubmissionRecord| {
+            let submission = &record.submission;
+            let answer = record.answer();
             json!({
                 "id": submission.id.to_string(),
                 "service": submission.service,
                 "kind": submission.kind,
                 "team": submission.team,
                 "priority": submission.priority,
-                "state": entry.state_name(),
+                "state": record.state_name(),
                 "effect": answer.map(|answer| answer.effect),
-                "tasks": entry.open_tasks().len(),
+                "tasks": record.open_tasks().len(),
                 "owner": self.node.me.name,
-                "age_ms": now.wall_ms.saturating_sub(entry.accepted_ms),
+                "age_ms": now.wall_ms.saturating_sub(record.accepted_ms),
             })
         };
-        entries.map(row).collect()
+        records.map(row).collect()
     }
 
     fn task_rows(&self, about: Option<SubmissionId>) -> Vec<Value> {
-        let entries = self.entries(about);
-        let rows = entries.flat_map(|entry| {
-            let tasks = (0u32..).zip(entry.open_tasks());
-            tasks.map(move |(index, state)| self.task_row(entry, index, state))
+        let records = self.records(about);
+        let rows = records.flat_map(|record| {
+            let tasks = (0u32..).zip(record.open_tasks());
+            tasks.map(move |(index, state)| self.task_row(record, index, state))
         });
-        rows.take(MOST_ROWS).collect()
+        rows.take(MAX_ROWS).collect()
     }
 
-    fn task_row(&self, entry: &SubmissionRecord, index: u32, state: &TaskState) -> Value {
+    fn task_row(&self, record: &SubmissionRecord, index: u32, state: &TaskState) -> Value {
         json!({
-            "id": entry.submission.id.to_string(),
+            "id": record.submission.id.to_string(),
             "index": index,
-            "service": entry.submission.service,
-            "kind": entry.submission.kind,
+            "service": record.submission.service,
+            "kind": record.submission.kind,
             "state": state.state_name(),
             "target": state.gate().map(|gate| gate.name.clone()),
             "owner": self.node.me.name,
@@ -79,15 +80,15 @@
 
     fn step_rows(&self, about: Option<SubmissionId>) -> Vec<Value> {
         let mut rows = Vec::new();
-        for entry in self.entries(about) {
-            let answer = entry.answer();
+        for record in self.records(about) {
+            let answer = record.answer();
             rows.push(json!({
                 "step": "accepted",
                 "owner": self.node.me.name,
-                "range": entry.range.0,
-                "at_ms": entry.accepted_ms,
+                "range": record.range.0,
+                "at_ms": record.accepted_ms,
             }));
-            rows.extend(entry.steps.iter().map(step_row));
+            rows.extend(record.steps.iter().map(step_row));
             rows.extend(answer.map(|answer| {
                 json!({
                     "step": "answered",
@@ -137,7 +138,7 @@
 
     fn member_row(&self, now: Moment) -> Value {
         let counts = self.node.message_counters.read();
-        let leased_us = self.member.ownership.lease_until_us();
+        let lease_until_us = self.member.ownership.lease_until_us();
         json!({
             "name": self.node.me.name,
             "run": format!("{:08x}", self.node.me.run as u32),
@@ -147,7 +148,7 @@
             "config": self.node.fleet.config_revision(),
             "table": self.node.fleet.table().revision,
             "ranges": self.member.owner.held_ranges().len(),
-            "lease_left_ms": now.left(leased_us).as_millis() as u64,
+            "lease_left_ms": now.left(lease_until_us).as_millis() as u64,
             "stopping": self.member.is_stopping(),
             "work_messages": counts.work,
             "control_messages": counts.control,
--- a/src/bench/caller.rs
+++ b/src/bench/caller.rs
@@ -16,7 +16,7 @@
 use crate::client::{EntryClient, EntryReply};
 use crate::code::Effect;
 use crate::id::SubmissionId;
-use crate::local::Local;
+use crate::local::LocalFleet;
 use crate::time::{Timer, micros};
 
 /// Wait before a caller comes back that was not told when.
@@ -41,7 +41,7 @@
 
 impl Callers {
     /// Callers of all entries of `fleet`.
-    pub fn new(fleet: &Local, history: Arc<History>, seed: u64) -> Callers {
+    pub fn new(fleet: &LocalFleet, history: Arc<History>, seed: u64) -> Callers {
         let addrs: Vec<SocketAddr> = fleet.entries.iter().map(|entry| entry.addr).collect();
         let shared = Shared {
             timer: fleet.timer.clone(),
--- a/src/bench/fault.rs
+++ b/src/bench/fault.rs
@@ -9,7 +9,7 @@
 use crate::bench::history::{ConfigAccepted, ConfigSeen, History, Leave};
 use crate::client::EntryClient;
 use crate::error::Result;
-use crate::local::Local;
+use crate::local::LocalFleet;
 use crate::standin::store::StoreFaults;
 use crate::standin::target::TargetFaults;
 use crate::time::micros;
@@ -118,7 +118,7 @@
     /// Lets them happen.
     pub async fn run(
         &mut self,
-        fleet: &mut Local,
+        fleet: &mut LocalFleet,
         callers: &Callers,
         history: &History,
     ) -> Result<()> {
@@ -138,7 +138,7 @@
     }
 
     /// Notes revisions in force for `span`.
-    async fn watch_until(&self, fleet: &Local, history: &History, span: Duration) {
+    async fn watch_until(&self, fleet: &LocalFleet, history: &History, span: Duration) {
         let until_us = fleet.timer.now().after(span);
         while fleet.timer.now().mono_us < until_us {
             let left = fleet.timer.now().left(until_us);
@@ -163,7 +163,7 @@
     async fn begin(
         &self,
         index: usize,
-        fleet: &mut Local,
+        fleet: &mut LocalFleet,
         callers: &Callers,
         history: &History,
     ) -> Result<()> {
@@ -194,18 +194,18 @@
         Ok(())
     }
 
-    async fn end(&self, index: usize, fleet: &mut Local, history: &History) -> Result<()> {
+    async fn end(&self, index: usize, fleet: &mut LocalFleet, history: &History) -> Result<()> {
         let victim = Faults::victim(index);
         match self.faults[index] {
             Fault::WorkerDies | Fault::Straggler | Fault::FailEverything => {
                 target_faults(fleet, victim, |faults| *faults = TargetFaults::default());
             }
             Fault::AgentDies => fleet.restart_agent(victim)?,
-            Fault::AgentStops if fleet.agents[victim].host.ended() => {
+            Fault::AgentStops if fleet.agents[victim].host.has_ended() => {
                 fleet.restart_agent(victim)?;
             }
             Fault::EntryDies => fleet.restart_entry(ENTRY)?,
-            Fault::EntryStops if fleet.entries[ENTRY].ended() => fleet.restart_entry(ENTRY)?,
+            Fault::EntryStops if fleet.entries[ENTRY].has_ended() => fleet.restart_entry(ENTRY)?,
             Fault::StoreDown => store_faults(fleet, |faults| faults.down = false),
             Fault::StoreSlow => store_faults(fleet, |faults| faults.slow_ms = 0),
             Fault::AnswersLost => store_faults(fleet, |faults| faults.lose_answers_percent = 0),
@@ -216,7 +216,7 @@
     }
 
     /// Two operators change the same revision; one of them must win.
-    async fn race(&self, fleet: &Local, history: &History) -> Result<()> {
+    async fn race(&self, fleet: &LocalFleet, history: &History) -> Result<()> {
         let clients = [0, 2].map(|index| EntryClient::new(fleet.entries[index].addr));
         let read = clients[0]
             .call(Method::GET, "/v1/operator/config", &[], "")
@@ -246,19 +246,19 @@
     }
 }
 
-fn store_faults(fleet: &Local, change: impl FnOnce(&mut StoreFaults)) {
+fn store_faults(fleet: &LocalFleet, change: impl FnOnce(&mut StoreFaults)) {
     let mut faults = fleet.store.faults();
     change(&mut faults);
     fleet.store.set_faults(faults);
 }
 
-fn target_faults(fleet: &Local, victim: usize, change: impl FnOnce(&mut TargetFaults)) {
+fn target_faults(fleet: &LocalFleet, victim: usize, change: impl FnOnce(&mut TargetFaults)) {
     let mut faults = TargetFaults::default();
     change(&mut faults);
     fleet.agents[victim].target.set_faults(faults);
 }
 
-fn note_leave(fleet: &Local, victim: usize, history: &History, span: Duration) {
+fn note_leave(fleet: &LocalFleet, victim: usize, history: &History, span: Duration) {
     let now = fleet.timer.now();
     history.left(Leave {
         target: fleet.agents[victim].host.name.clone(),
@@ -267,7 +267,7 @@
     });
 }
 
-async fn drain(fleet: &Local, victim: usize, history: &History, drained: bool) -> Result<()> {
+async fn drain(fleet: &LocalFleet, victim: usize, history: &History, drained: bool) -> Result<()> {
     let target = fleet.agents[victim].host.name.clone();
     let verb = if drained { "drain" } else { "undrain" };
     let path = format!("/v1/operator/targets/{target}/{verb}");
--- a/src/bench/mod.rs
+++ b/src/bench/mod.rs
@@ -21,7 +21,7 @@
 
 use crate::config::{Config, Placement, Policy};
 use crate::error::{Error, Result};
-use crate::local::{Local, LocalOptions};
+use crate::local::{LocalFleet, LocalOptions};
 use crate::logging;
 use crate::settings::LogLevel;
 use caller::Callers;
@@ -99,7 +99,7 @@
     let slots = local.slots * options.targets as u32;
     let workload = Workload::plan(&config, slots, options.load, options.length, options.seed)?;
     let log = logging::logger("bench", options.log);
-    let fleet = Local::start(&document, local, log)?;
+    let fleet = LocalFleet::start(&document, local, log)?;
     let runtime = tokio::runtime::Builder::new_multi_thread()
         .worker_threads(2)
         .thread_name("callers")
@@ -119,11 +119,11 @@
     options: &BenchOptions,
     policy: Placement,
     document: &str,
-    mut fleet: Local,
+    mut fleet: LocalFleet,
     workload: Workload,
     slots: u32,
 ) -> Result<RunReport> {
-    fleet.ready().await?;
+    fleet.wait_until_ready().await?;
     let history = Arc::new(History::default());
     let callers = Callers::new(&fleet, history.clone(), options.seed);
     let before = fleet.messages();
--- a/src/bench/throughput.rs
+++ b/src/bench/throughput.rs
@@ -18,7 +18,7 @@
 use crate::gate::RunResult;
 use crate::host::{Host, Ready};
 use crate::id::TaskId;
-use crate::local::{Local, LocalOptions};
+use crate::local::{LocalFleet, LocalOptions};
 use crate::logging;
 use crate::message::TaskOutcome;
 use crate::store::Store;
@@ -98,7 +98,7 @@
         entries: 1,
         ..LocalOptions::default()
     };
-    let fleet = Local::start(CONFIG, options, logging::discard())?;
+    let fleet = LocalFleet::start(CONFIG, options, logging::discard())?;
     let mut agent = start_agent(&fleet)?;
     let runtime = tokio::runtime::Builder::new_multi_thread()
         .worker_threads(2)
@@ -111,7 +111,7 @@
     measured
 }
 
-fn start_agent(fleet: &Local) -> Result<Host> {
+fn start_agent(fleet: &LocalFleet) -> Result<Host> {
     let mut settings = fleet.agent_settings("one-agent", "bench");
     settings.slots = SLOTS;
     let timer = fleet.timer.clone();
@@ -130,9 +130,14 @@
     })
 }
 
-async fn measure(fleet: &Local, tasks: usize, jobs: usize, length: Duration) -> Result<Throughput> {
+async fn measure(
+    fleet: &LocalFleet,
+    tasks: usize,
+    jobs: usize,
+    length: Duration,
+) -> Result<Throughput> {
     Config::from_yaml(CONFIG)?;
-    fleet.entries_ready().await?;
+    fleet.wait_for_entries().await?;
     drive(fleet, tasks, jobs, WARM_UP).await?;
     let before = Usage::read();
     let started = fleet.timer.now();
@@ -148,7 +153,7 @@
 }
 
 /// Keeps `jobs` jobs under way for `length`; gives the tasks that were done.
-async fn drive(fleet: &Local, tasks: usize, jobs: usize, length: Duration) -> Result<usize> {
+async fn drive(fleet: &LocalFleet, tasks: usize, jobs: usize, length: Duration) -> Result<usize> {
     let client = EntryClient::new(fleet.entries[0].addr);
     let body = format!("{{\"tasks\":[{}]}}", vec!["0"; tasks].join(","));
     let until_us = fleet.timer.now().after(length);
--- a/src/bin/winghold/app.rs
+++ b/src/bin/winghold/app.rs
@@ -1,4 +1,4 @@
-//! What each command does.
+//! Implementation of the commands.
 
 use std::io::{IsTerminal, stderr, stdout};
 use std::path::Path;
@@ -13,7 +13,7 @@
 use winghold::config::{Config, Placement};
 use winghold::config_store::{ConfigStore, Edit, Proposal};
 use winghold::error::{Error, Result};
-use winghold::local::{Local, LocalOptions};
+use winghold::local::{LocalFleet, LocalOptions};
 use winghold::logging;
 use winghold::operator::{Operator, Output};
 use winghold::query::{self, Statement};
@@ -31,8 +31,8 @@
 use crate::printer::print;
 
 const DEFAULT_CONFIG: &str = include_str!("../../../examples/logger-intake.yaml");
-/// How often a spinner turns.
-const SPIN: Duration = Duration::from_millis(100);
+/// Interval between frames of the spinner.
+const SPINNER_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Runs a command.
 pub fn run(args: &Args) -> Result<()> {
@@ -46,7 +46,7 @@
             Ok(())
         }
         Command::Config(ConfigCommand::Check { file }) => check(file),
-        _ => block_on(operate(args)),
+        _ => block_on(run_operator_command(args)),
     }
 }
 
@@ -59,44 +59,44 @@
 
 fn read_config(path: Option<&Path>) -> Result<String> {
     match path {
-        Some(path) => read(path),
+        Some(path) => read_file(path),
         None => Ok(DEFAULT_CONFIG.to_string()),
     }
 }
 
-fn read(path: &Path) -> Result<String> {
+fn read_file(path: &Path) -> Result<String> {
     let text = std::fs::read_to_string(path);
     text.map_err(|err| invalid(format!("{}: {err}", path.display())))
 }
 
 fn check(file: &Path) -> Result<()> {
-    Config::from_yaml(&read(file)?)?;
+    Config::from_yaml(&read_file(file)?)?;
     println!("{}: valid", file.display());
     Ok(())
 }
 
-/// Shows on a terminal that something long goes on.
-fn progress(message: &str) -> ProgressBar {
+/// Shows a spinner if stderr is a terminal.
+fn spinner(message: &str) -> ProgressBar {
     if !stderr().is_terminal() {
         return ProgressBar::hidden();
     }
     let bar = ProgressBar::new_spinner().with_message(message.to_string());
-    bar.enable_steady_tick(SPIN);
+    bar.enable_steady_tick(SPINNER_INTERVAL);
     bar
 }
 
-async fn operate(args: &Args) -> Result<()> {
+async fn run_operator_command(args: &Args) -> Result<()> {
     let operator = Operator::new(args.entry, &args.who);
-    let bar = progress("waiting for the fleet");
-    let result = ask(&operator, args).await;
+    let bar = spinner("waiting for the fleet");
+    let result = execute(&operator, args).await;
     bar.finish_and_clear();
     let (output, columns) = result?;
     print(&output, args.output, &columns);
     Ok(())
 }
 
-/// Carries out an operator's command; gives its output and its columns.
-async fn ask(operator: &Operator, args: &Args) -> Result<(Output, Vec<String>)> {
+/// Executes an operator's command; returns its output and the selected columns.
+async fn execute(operator: &Operator, args: &Args) -> Result<(Output, Vec<String>)> {
     let output = match &args.command {
         Command::Submit(args) => Output::Value(submit(operator, args).await?),
         Command::Cancel { id } => Output::Value(operator.cancel(id).await?),
@@ -105,17 +105,17 @@
         Command::Evacuate(args) => evacuate(operator, args, true).await?,
         Command::Unevacuate(args) => evacuate(operator, args, false).await?,
         Command::Config(command) => config(operator, command).await?,
-        Command::Services => return statement(operator, "select * from services").await,
+        Command::Services => return run_statement(operator, "select * from services").await,
         Command::Workers => {
-            return statement(operator, "select * from workers order by name").await;
+            return run_statement(operator, "select * from workers order by name").await;
         }
-        Command::Query { statement: text } => return statement(operator, text).await,
+        Command::Query { statement: text } => return run_statement(operator, text).await,
         _ => return Err(invalid("not an operator's command".to_string())),
     };
     Ok((output, Vec::new()))
 }
 
-async fn statement(operator: &Operator, text: &str) -> Result<(Output, Vec<String>)> {
+async fn run_statement(operator: &Operator, text: &str) -> Result<(Output, Vec<String>)> {
     let statement = query::parse(text)?;
     let columns = match &statement {
         Statement::Select(select) => select.columns.clone(),
@@ -159,7 +159,7 @@
             Ok(Output::Value(text.into()))
         }
         ConfigCommand::Apply { file, base, note } => {
-            let document = read(file)?;
+            let document = read_file(file)?;
             Config::from_yaml(&document)?;
             let base = match base {
                 Some(base) => *base,
@@ -169,7 +169,9 @@
             Ok(Output::Value(serde_json::json!({ "revision": revision })))
         }
         ConfigCommand::History => operator.history().await.map(Output::Rows),
-        ConfigCommand::Check { .. } => Err(invalid("needs no fleet".to_string())),
+        ConfigCommand::Check { .. } => {
+            Err(invalid("`config check` does not call an entry".to_string()))
+        }
     }
 }
 
@@ -180,11 +182,11 @@
         ..LocalOptions::default()
     };
     let log = logging::logger("local", LogLevel::Warning);
-    let fleet = Local::start(&document, options, log)?;
+    let fleet = LocalFleet::start(&document, options, log)?;
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()?;
-    runtime.block_on(fleet.ready())?;
+    runtime.block_on(fleet.wait_until_ready())?;
     let entries: Vec<String> = fleet
         .entries
         .iter()
@@ -199,7 +201,7 @@
     fleet.stop()
 }
 
-/// Serves a store and targets until a signal.
+/// Runs a store and targets until a stop signal.
 async fn standin(args: &StandinArgs) -> Result<()> {
     let timer = Timer::start();
     let store = StandInStore::new(timer.clone(), StoreRates::default());
@@ -220,7 +222,7 @@
         let proposal = Proposal {
             edit: Edit::Document {
                 base: 0,
-                document: read(path)?,
+                document: read_file(path)?,
             },
             who: "standin".to_string(),
             note: "first configuration".to_string(),
@@ -242,7 +244,7 @@
             Ok(())
         }
         Some(BenchPart::Capacity { file }) => {
-            let measured = slopes::Slopes::from_yaml(&read(file)?)?;
+            let measured = slopes::Slopes::from_yaml(&read_file(file)?)?;
             print!("{}", capacity::page(&measured));
             Ok(())
         }
@@ -258,8 +260,9 @@
 }
 
 fn bench_load(args: &BenchArgs) -> Result<()> {
-    let faults: Result<Vec<Fault>> = args.fault.iter().map(|name| fault(name)).collect();
-    let policies: Result<Vec<Placement>> = args.policy.iter().map(|name| policy(name)).collect();
+    let faults: Result<Vec<Fault>> = args.fault.iter().map(|name| parse_fault(name)).collect();
+    let policies: Result<Vec<Placement>> =
+        args.policy.iter().map(|name| parse_policy(name)).collect();
     let options = BenchOptions {
         document: read_config(args.config.as_deref())?,
         load: args.load,
@@ -273,7 +276,7 @@
             false => LogLevel::Error,
         },
     };
-    let bar = progress("running the load");
+    let bar = spinner("running the load");
     let report = bench::run(&options);
     bar.finish_and_clear();
     let report = report?;
@@ -285,13 +288,18 @@
     Ok(())
 }
 
-fn fault(name: &str) -> Result<Fault> {
+fn parse_fault(name: &str) -> Result<Fault> {
     let names: Vec<&str> = Fault::ALL.iter().map(|fault| fault.name()).collect();
-    let unknown = || invalid(format!("fault: no `{name}`; one of {}", names.join(", ")));
+    let unknown = || {
+        invalid(format!(
+            "fault: unknown `{name}`, expected one of {}",
+            names.join(", ")
+        ))
+    };
     Fault::from_name(name).ok_or_else(unknown)
 }
 
-fn policy(name: &str) -> Result<Placement> {
+fn parse_policy(name: &str) -> Result<Placement> {
     let parsed = serde_json::from_value(serde_json::json!(name));
     parsed.map_err(|err| invalid(format!("policy: {err}")))
 }
--- a/src/bin/winghold/clap_app.rs
+++ b/src/bin/winghold/clap_app.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! Command-line arguments.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -10,7 +10,7 @@
 #[derive(Debug, Parser)]
 #[command(name = "winghold", version)]
 pub struct Args {
-    /// Entry to talk to
+    /// Address of the entry to call
     #[arg(
         long,
         global = true,
@@ -18,47 +18,47 @@
         default_value = "127.0.0.1:8080"
     )]
     pub entry: SocketAddr,
-    /// How results are printed
+    /// Output format
     #[arg(long, global = true, value_enum, default_value_t = Format::Table)]
     pub output: Format,
-    /// Name that goes into the trail of changes
+    /// Name that is recorded in the history of changes
     #[arg(long, global = true, env = "USER", default_value = "operator")]
     pub who: String,
-    /// What to do.
+    /// Command.
     #[command(subcommand)]
     pub command: Command,
 }
 
-/// How results are printed.
+/// Output format.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, ValueEnum)]
 pub enum Format {
-    /// Columns of text
+    /// Text columns
     Table,
     /// JSON
     Json,
 }
 
-/// What to do.
+/// Commands.
 #[derive(Debug, Subcommand)]
 pub enum Command {
-    /// Run a whole fleet in this process, with stand-ins for the platform
+    /// Run a whole fleet in this process, with a stand-in platform
     Local(LocalArgs),
     /// Submit a request or a job and wait for its answer
     Submit(SubmitArgs),
-    /// Cancel a request or a job; saying it again changes nothing
+    /// Cancel a request or a job; repeating it has no effect
     Cancel {
         /// Id of the submission
         id: String,
     },
-    /// Give a target no new work
+    /// Send no new work to a target
     Drain(DrainArgs),
-    /// Give a drained target work again
+    /// Send work to a drained target again
     Undrain(DrainArgs),
-    /// Give the targets of a failure domain no new work
+    /// Send no new work to the targets of a failure domain
     Evacuate(EvacuateArgs),
-    /// Give the targets of an evacuated failure domain work again
+    /// Send work to the targets of an evacuated failure domain again
     Unevacuate(EvacuateArgs),
-    /// Look at or change the configuration
+    /// Show or change the configuration
     #[command(subcommand)]
     Config(ConfigCommand),
     /// List services and their kinds of request
@@ -70,10 +70,10 @@
         /// For example: select name, running from targets order by running desc
         statement: String,
     },
-    /// Load a local fleet, with faults, and report
+    /// Run a load test with faults on a local fleet and print a report
     #[command(subcommand_negates_reqs = true, args_conflicts_with_subcommands = true)]
     Bench(BenchCommand),
-    /// Run stand-ins for the platform: a store and targets
+    /// Run a stand-in platform: a store and targets
     Standin(StandinArgs),
     /// Print a completion script
     Completions {
@@ -92,10 +92,10 @@
     /// Kind of request
     #[arg(long)]
     pub kind: Option<String>,
-    /// The body is a job
+    /// Treat the body as a job
     #[arg(long)]
     pub job: bool,
-    /// Return at once; ask later with `query 'why ID'`
+    /// Return without waiting for the answer; see `query 'why ID'` for progress
     #[arg(long, requires = "job")]
     pub no_wait: bool,
 }
@@ -105,7 +105,7 @@
 pub struct DrainArgs {
     /// Name of the target
     pub target: String,
-    /// Why, for the trail of changes
+    /// Reason that is recorded in the history of changes
     #[arg(long, default_value = "")]
     pub note: String,
 }
@@ -115,32 +115,32 @@
 pub struct EvacuateArgs {
     /// Name of the failure domain
     pub domain: String,
-    /// Why, for the trail of changes
+    /// Reason that is recorded in the history of changes
     #[arg(long, default_value = "")]
     pub note: String,
 }
 
-/// What to do with the configuration.
+/// Commands of `config`.
 #[derive(Debug, Subcommand)]
 pub enum ConfigCommand {
-    /// Print the document and its revision
+    /// Print the configuration document and its revision
     Get,
     /// Replace the document
     Apply {
         /// File with the new document
         file: PathBuf,
-        /// Revision that it was made from; the present one if absent
+        /// Revision that the document is based on [default: the current revision]
         #[arg(long)]
         base: Option<u64>,
-        /// Why, for the trail of changes
+        /// Reason that is recorded in the history of changes
         #[arg(long, default_value = "")]
         note: String,
     },
-    /// Print who changed what, and when
+    /// Print the history of changes
     History,
-    /// Check a file without a fleet
+    /// Validate a configuration file without calling an entry
     Check {
-        /// The file
+        /// File to validate
         file: PathBuf,
     },
 }
@@ -148,55 +148,55 @@
 /// Arguments of `standin`.
 #[derive(Debug, clap::Args)]
 pub struct StandinArgs {
-    /// Where the store listens
+    /// Listen address of the store
     #[arg(long, default_value = "127.0.0.1:7000")]
     pub store: SocketAddr,
-    /// Where a target listens; may be given more than once
+    /// Listen address of a target; may be repeated
     #[arg(long)]
     pub target: Vec<SocketAddr>,
-    /// First configuration to put into the store
+    /// File with the initial configuration
     #[arg(long)]
     pub config: Option<PathBuf>,
 }
 
-/// `bench` and its parts.
+/// Arguments of `bench` and its subcommands.
 #[derive(Debug, clap::Args)]
 pub struct BenchCommand {
-    /// A part of the bench
+    /// Subcommand
     #[command(subcommand)]
     pub part: Option<BenchPart>,
-    /// The load
+    /// Load test
     #[command(flatten)]
     pub load: BenchArgs,
 }
 
-/// Parts of the bench.
+/// Subcommands of `bench`.
 #[derive(Debug, Subcommand)]
 pub enum BenchPart {
-    /// Measure costs against sizes and write them as YAML
+    /// Measure costs at several sizes and write them as YAML
     Slopes {
         /// File to write
         file: PathBuf,
     },
-    /// Work out the tables of docs/CAPACITY.md from measured slopes
+    /// Print the tables of docs/CAPACITY.md, computed from measured slopes
     Capacity {
-        /// File that `slopes` wrote
+        /// File written by `slopes`
         file: PathBuf,
     },
-    /// Measure tasks a second through one entry and one agent
+    /// Measure tasks per second through one entry and one agent
     Throughput(ThroughputArgs),
 }
 
 /// Arguments of `bench throughput`.
 #[derive(Debug, clap::Args)]
 pub struct ThroughputArgs {
-    /// Tasks of one job
+    /// Tasks per job
     #[arg(long, default_value_t = 120)]
     pub tasks: usize,
-    /// Jobs under way at once
+    /// Number of concurrent jobs
     #[arg(long, default_value_t = 16)]
     pub jobs: usize,
-    /// Length in seconds
+    /// Duration in seconds
     #[arg(long, default_value_t = 5)]
     pub seconds: u64,
 }
@@ -204,10 +204,10 @@
 /// Arguments of `local`.
 #[derive(Debug, clap::Args)]
 pub struct LocalArgs {
-    /// Configuration of the fleet; the embedded example if absent
+    /// Configuration file [default: an embedded example]
     #[arg(long)]
     pub config: Option<PathBuf>,
-    /// Where the first entry listens
+    /// HTTP address of the first entry
     #[arg(long, default_value = "127.0.0.1:8080")]
     pub listen: SocketAddr,
 }
@@ -215,31 +215,31 @@
 /// Arguments of `bench`.
 #[derive(Debug, clap::Args)]
 pub struct BenchArgs {
-    /// Configuration with loads; the embedded example if absent
+    /// Configuration file with loads [default: an embedded example]
     #[arg(long)]
     pub config: Option<PathBuf>,
-    /// Share of the slots that the load needs
+    /// Load as a fraction of the slots
     #[arg(long, default_value_t = 0.7)]
     pub load: f64,
-    /// Length of the load in seconds
+    /// Duration of the load in seconds
     #[arg(long, default_value_t = 20)]
     pub seconds: u64,
-    /// Policies to compare: least-finish, random, round-robin
+    /// Placement policies to compare: least-finish, random, round-robin
     #[arg(long, value_delimiter = ',', default_value = "least-finish")]
     pub policy: Vec<String>,
-    /// Faults, all at once; see docs/MEASUREMENTS.md
+    /// Faults to inject together; see docs/MEASUREMENTS.md
     #[arg(long, value_delimiter = ',')]
     pub fault: Vec<String>,
     /// Seed of the load
     #[arg(long, default_value_t = 1)]
     pub seed: u64,
-    /// Targets
+    /// Targets per service
     #[arg(long, default_value_t = 11)]
     pub targets: usize,
-    /// Write the report as JSON here too
+    /// File for the report as JSON
     #[arg(long)]
     pub json: Option<PathBuf>,
-    /// Log what the fleet does
+    /// Print the log of the fleet
     #[arg(long)]
     pub verbose: bool,
 }
--- a/src/bin/winghold/main.rs
+++ b/src/bin/winghold/main.rs
@@ -1,4 +1,4 @@
-//! The `winghold` command: a local fleet, and what operators do with one.
+//! The `winghold` command: local fleets and operators' calls to a fleet.
 
 mod app;
 mod clap_app;
--- a/src/bin/winghold/printer.rs
+++ b/src/bin/winghold/printer.rs
@@ -10,7 +10,7 @@
 
 use crate::clap_app::Format;
 
-/// Prints what a statement gave; `columns` come first and in their order.
+/// Prints an output; a table has the given `columns`, or all if there are none.
 pub fn print(output: &Output, format: Format, columns: &[String]) {
     match (output, format) {
         (Output::Rows(rows), Format::Table) => println!("{}", table(rows, columns)),
@@ -44,16 +44,18 @@
     table.to_string()
 }
 
-/// Columns of all rows; the name of a thing comes first.
+/// Columns of all rows, with those that identify a row first.
 fn all_columns(rows: &[Row]) -> Vec<String> {
     let names: BTreeSet<&String> = rows.iter().flat_map(|row| row.keys()).collect();
-    let leads = ["step", "name", "id", "revision", "service", "kind", "state"];
-    let first = leads
+    let leading_names = ["step", "name", "id", "revision", "service", "kind", "state"];
+    let first = leading_names
         .iter()
-        .filter(|lead| names.iter().any(|name| name == *lead));
-    let rest = names.iter().filter(|name| !leads.contains(&name.as_str()));
+        .filter(|leading| names.iter().any(|name| name == *leading));
+    let rest = names
+        .iter()
+        .filter(|name| !leading_names.contains(&name.as_str()));
     first
-        .map(|lead| (*lead).to_string())
+        .map(|leading| (*leading).to_string())
         .chain(rest.map(|name| (*name).clone()))
         .collect()
 }
--- a/src/client.rs
+++ b/src/client.rs
@@ -1,4 +1,4 @@
-//! A client of an entry's HTTP, for the command line and the bench.
+//! HTTP client of an entry, for the command line and the bench.
 
 use std::net::SocketAddr;
 
@@ -11,25 +11,25 @@
 
 use crate::error::{Error, Result};
 
-/// A reply of an entry.
+/// Reply of an entry.
 #[derive(Clone, Debug)]
 pub struct EntryReply {
     /// HTTP status.
     pub status: u16,
     /// Headers.
     pub headers: HeaderMap,
-    /// Whole body.
+    /// Complete body.
     pub body: Bytes,
 }
 
 impl EntryReply {
-    /// The body as JSON; null if it is none.
+    /// The body as JSON, or null if it is not valid JSON.
     pub fn json(&self) -> serde_json::Value {
         serde_json::from_slice(&self.body).unwrap_or_default()
     }
 }
 
-/// A client of one entry.
+/// Client of one entry.
 #[derive(Clone)]
 pub struct EntryClient {
     addr: SocketAddr,
@@ -37,7 +37,7 @@
 }
 
 impl EntryClient {
-    /// A client of the entry at `addr`.
+    /// Creates a client of the entry at `addr`.
     pub fn new(addr: SocketAddr) -> EntryClient {
         let mut connector = HttpConnector::new();
         connector.set_nodelay(true);
@@ -45,7 +45,7 @@
         EntryClient { addr, client }
     }
 
-    /// Makes one call; `headers` are pairs of name and value.
+    /// Sends a request; `headers` are pairs of name and value.
     pub async fn call(
         &self,
         method: Method,
--- a/src/entry/http.rs
+++ b/src/entry/http.rs
@@ -1,4 +1,4 @@
-//! The HTTP side of an entry.
+//! HTTP server of an entry: reads calls, passes them to the loop and writes the answers.
 
 use std::convert::Infallible;
 use std::sync::Arc;
@@ -20,25 +20,25 @@
 use tokio::sync::Semaphore;
 
 use crate::code::{Effect, ResultCode};
-use crate::entry::parse::{self, ID_HEADER, ParseResult, Parsed, refuse};
+use crate::entry::parse::{self, ID_HEADER, ParseResult, Parsed, refusal};
 use crate::entry::{Handle, operator};
 use crate::error::Result;
 use crate::id::SubmissionId;
 use crate::message::{Answer, Operation, Submission};
 use crate::supervisor::Stop;
 
-/// Header with the id of a submission on its answer.
-const ANSWER_ID: &str = "winghold-id";
-/// Header with the number of the result code.
-const ANSWER_CODE: &str = "winghold-code";
-/// Header with what is known of the execution.
-const ANSWER_EFFECT: &str = "winghold-effect";
-/// Least buffer that the HTTP library takes for headers.
-const LEAST_HEADER_BYTES: usize = 8 << 10;
-/// Longest wait for open connections when the entry stops.
-const CLOSING: Duration = Duration::from_secs(5);
-/// What a caller gets whose connection is over the limit.
-const TOO_MANY: &[u8] = b"HTTP/1.1 503 Service Unavailable\r\ncontent-length: 0\r\n\
+/// Answer header with the id of the submission.
+const ANSWER_ID_HEADER: &str = "winghold-id";
+/// Answer header with the number of the result code.
+const ANSWER_CODE_HEADER: &str = "winghold-code";
+/// Answer header that says whether the submission ran.
+const ANSWER_EFFECT_HEADER: &str = "winghold-effect";
+/// Minimum buffer size that hyper accepts.
+const MIN_HEADER_BUF_BYTES: usize = 8 << 10;
+/// Maximum wait for open connections when the entry stops.
+const CONNECTION_CLOSE_TIMEOUT: Duration = Duration::from_secs(5);
+/// Reply to a connection above the limit.
+const CONNECTION_LIMIT_REPLY: &[u8] = b"HTTP/1.1 503 Service Unavailable\r\ncontent-length: 0\r\n\
 retry-after: 1\r\nconnection: close\r\n\r\n";
 
 pub(crate) type Reply = Response<Full<Bytes>>;
@@ -48,45 +48,48 @@
     let graceful = GracefulShutdown::new();
     let connections = handle.view().config.limits.connections;
     let permits = Arc::new(Semaphore::new(connections));
-    let stopped = stop.asked();
-    tokio::pin!(stopped);
+    let stop_requested = stop.asked();
+    tokio::pin!(stop_requested);
     loop {
         let accepted = tokio::select! {
             accepted = listener.accept() => accepted,
-            () = &mut stopped => break,
+            () = &mut stop_requested => break,
         };
         let stream = match accepted {
             Ok((stream, _)) => stream,
             Err(err) => {
-                warn!(handle.log, "accept"; "error" => %err);
+                warn!(handle.log, "cannot accept a connection"; "error" => %err);
                 handle.timer.sleep(Duration::from_millis(50)).await;
                 continue;
             }
         };
         match permits.clone().try_acquire_owned() {
             Ok(permit) => {
-                let connection = connection(stream, &handle, &graceful);
+                let connection = serve_connection(stream, &handle, &graceful);
                 tokio::spawn(async move {
                     connection.await;
                     drop(permit);
                 });
             }
             Err(_) => {
-                tokio::spawn(turn_away(stream));
+                tokio::spawn(reject_connection(stream));
             }
         }
     }
     drop(listener);
-    handle.timer.within(CLOSING, graceful.shutdown()).await;
+    handle
+        .timer
+        .within(CONNECTION_CLOSE_TIMEOUT, graceful.shutdown())
+        .await;
     Ok(())
 }
 
-async fn turn_away(mut stream: TcpStream) {
-    let _ = stream.write_all(TOO_MANY).await;
+async fn reject_connection(mut stream: TcpStream) {
+    let _ = stream.write_all(CONNECTION_LIMIT_REPLY).await;
     let _ = stream.shutdown().await;
 }
 
-fn connection(
+fn serve_connection(
     stream: TcpStream,
     handle: &Handle,
     graceful: &GracefulShutdown,
@@ -103,12 +106,12 @@
         .timer(TokioTimer::new())
         .header_read_timeout(Duration::from_millis(limits.header_ms))
         .max_headers(limits.headers)
-        .max_buf_size(limits.header_bytes.max(LEAST_HEADER_BYTES))
+        .max_buf_size(limits.header_bytes.max(MIN_HEADER_BUF_BYTES))
         .serve_connection(TokioIo::new(stream), service);
     let connection = graceful.watch(connection);
     async move {
         if let Err(err) = connection.await {
-            debug!(log, "connection"; "error" => %err);
+            debug!(log, "connection failed"; "error" => %err);
         }
     }
 }
@@ -135,39 +138,39 @@
         (&Method::POST, ["v1", "services", service, "jobs"]) => {
             submit(handle, service, req, true).await
         }
-        (&Method::GET, ["v1", "jobs", id]) => about(handle, Operation::Lookup, id).await,
+        (&Method::GET, ["v1", "jobs", id]) => call_by_id(handle, Operation::Lookup, id).await,
         (&Method::DELETE, ["v1", "jobs" | "requests", id]) => {
-            about(handle, Operation::Cancel, id).await
+            call_by_id(handle, Operation::Cancel, id).await
         }
         (&Method::GET, ["v1", "ready"]) => ready(handle),
         (_, ["v1", "operator", rest @ ..]) => operator::route(handle, &method, rest, req).await,
-        _ => refused(
+        _ => error_reply(
             None,
-            &refuse(ResultCode::NotFound, &format!("path: no `{path}`")),
+            &refusal(ResultCode::NotFound, &format!("path: no `{path}`")),
         ),
     }
 }
 
-/// Whether the balancer should send callers here.
+/// Answers the readiness check of the load balancer.
 fn ready(handle: &Handle) -> Reply {
     let view = handle.view();
-    let ready = !view.stopping && view.revision > 0 && view.owned;
+    let ready = !view.stopping && view.revision > 0 && view.has_owners;
     let status = if ready { 200 } else { 503 };
     let body = json!({ "ready": ready, "config": view.revision });
     json_reply(status, &body)
 }
 
-async fn submit(handle: &Handle, service: &str, req: Request<Incoming>, job: bool) -> Reply {
+async fn submit(handle: &Handle, service: &str, req: Request<Incoming>, is_job: bool) -> Reply {
     let waits = req
         .uri()
         .query()
         .is_none_or(|query| !query.contains("wait=false"));
-    let given = req.headers().get(ID_HEADER).and_then(|id| id.to_str().ok());
-    let given = given.and_then(|id| id.parse().ok());
-    match read_submission(handle, service, req, job).await {
-        Err(answer) => refused(given, &answer),
-        Ok(parsed) if waits => wait(handle, parsed).await,
-        Ok(parsed) => start(handle, parsed).await,
+    let submission_id = req.headers().get(ID_HEADER).and_then(|id| id.to_str().ok());
+    let submission_id = submission_id.and_then(|id| id.parse().ok());
+    match read_submission(handle, service, req, is_job).await {
+        Err(answer) => error_reply(submission_id, &answer),
+        Ok(parsed) if waits => submit_and_wait(handle, parsed).await,
+        Ok(parsed) => submit_without_waiting(handle, parsed).await,
     }
 }
 
@@ -175,84 +178,84 @@
     handle: &Handle,
     service: &str,
     req: Request<Incoming>,
-    job: bool,
+    is_job: bool,
 ) -> ParseResult<Parsed> {
     let (head, body) = req.into_parts();
     let config = handle.view().config;
     let body = read_body(handle, body).await?;
     let wall_ms = handle.timer.now().wall_ms;
-    match job {
+    match is_job {
         true => parse::job(&config, service, &head.headers, &body, wall_ms),
         false => parse::request(&config, service, &head.headers, body, wall_ms),
     }
 }
 
-/// Reads a body within the limits on its size and time.
+/// Reads a body within the size and time limits.
 pub(crate) async fn read_body(handle: &Handle, body: Incoming) -> ParseResult<Bytes> {
     let limits = handle.view().config.limits.clone();
-    let most = limits.body_bytes;
+    let max_bytes = limits.body_bytes;
     let too_large = || {
-        let text = format!("body: over the limit of {most} bytes");
-        refuse(ResultCode::TooLarge, &text)
+        let text = format!("body: over the limit of {max_bytes} bytes");
+        refusal(ResultCode::TooLarge, &text)
     };
-    if body.size_hint().lower() > most as u64 {
+    if body.size_hint().lower() > max_bytes as u64 {
         return Err(too_large());
     }
-    let reading = Limited::new(body, most).collect();
+    let reading = Limited::new(body, max_bytes).collect();
     let limit = Duration::from_millis(limits.body_ms);
     match handle.timer.within(limit, reading).await {
-        None => Err(refuse(ResultCode::SlowCaller, "body: sent too slowly")),
+        None => Err(refusal(ResultCode::SlowCaller, "body: sent too slowly")),
         Some(Ok(body)) => Ok(body.to_bytes()),
         Some(Err(err)) if err.is::<LengthLimitError>() => Err(too_large()),
-        Some(Err(_)) => Err(refuse(ResultCode::BadRequest, "body: not all of it came")),
+        Some(Err(_)) => Err(refusal(ResultCode::BadRequest, "body: not all of it came")),
     }
 }
 
-async fn wait(handle: &Handle, parsed: Parsed) -> Reply {
+async fn submit_and_wait(handle: &Handle, parsed: Parsed) -> Reply {
     let Parsed { submission, fresh } = parsed;
     let (id, is_job) = (submission.id, submission.is_job);
-    let answer = handle.ask(Operation::Submit, submission, fresh).await;
-    reply(id, is_job, &answer.unwrap_or_else(stopped))
+    let answer = handle.call(Operation::Submit, submission, fresh).await;
+    reply(id, is_job, &answer.unwrap_or_else(entry_stopped))
 }
 
-/// Starts a submission that nobody waits for, and makes sure of its owner.
-async fn start(handle: &Handle, parsed: Parsed) -> Reply {
+/// Submits without waiting for the result; answers once the owner confirms the submission.
+async fn submit_without_waiting(handle: &Handle, parsed: Parsed) -> Reply {
     let Parsed { submission, fresh } = parsed;
     let id = submission.id;
-    let question = Submission {
+    let lookup = Submission {
         tasks: Vec::new(),
         ..submission.clone()
     };
-    handle.tell(Operation::Submit, submission, fresh);
-    let answer = handle.ask(Operation::Lookup, question, false).await;
-    reply(id, true, &answer.unwrap_or_else(stopped))
+    handle.send(Operation::Submit, submission, fresh);
+    let answer = handle.call(Operation::Lookup, lookup, false).await;
+    reply(id, true, &answer.unwrap_or_else(entry_stopped))
 }
 
-async fn about(handle: &Handle, ask: Operation, id: &str) -> Reply {
+async fn call_by_id(handle: &Handle, operation: Operation, id: &str) -> Reply {
     let id = match parse::parse_id(id) {
         Ok(id) => id,
-        Err(answer) => return refused(None, &answer),
+        Err(answer) => return error_reply(None, &answer),
     };
-    let question = Submission::id_only(id, handle.view().config.limits.deadline_ms.min(10_000));
-    let answer = handle.ask(ask, question, false).await;
-    reply(id, true, &answer.unwrap_or_else(stopped))
+    let submission = Submission::id_only(id, handle.view().config.limits.deadline_ms.min(10_000));
+    let answer = handle.call(operation, submission, false).await;
+    reply(id, true, &answer.unwrap_or_else(entry_stopped))
 }
 
-fn stopped() -> Answer {
+fn entry_stopped() -> Answer {
     Answer::failure(ResultCode::Stopping, Effect::Unknown, "the entry stopped")
 }
 
 fn reply(id: SubmissionId, is_job: bool, answer: &Answer) -> Reply {
     match (answer.code, is_job, answer.results.first()) {
         (ResultCode::Complete, false, Some(body)) => {
-            marked(id, answer, Response::new(Full::new(body.clone())))
+            with_answer_headers(id, answer, Response::new(Full::new(body.clone())))
         }
-        (ResultCode::Complete, true, _) => marked(id, answer, job_reply(id, answer)),
-        _ => refused(Some(id), answer),
+        (ResultCode::Complete, true, _) => with_answer_headers(id, answer, job_reply(id, answer)),
+        _ => error_reply(Some(id), answer),
     }
 }
 
-/// The whole answer of a job: results that are JSON stay as they are.
+/// Answer of a finished job; results that are JSON are embedded unchanged.
 fn job_reply(id: SubmissionId, answer: &Answer) -> Reply {
     let mut body = format!(
         "{{\"id\":\"{id}\",\"code\":{},\"name\":\"{}\",\"effect\":\"ran\",\"results\":[",
@@ -277,21 +280,21 @@
     }
 }
 
-fn marked(id: SubmissionId, answer: &Answer, mut reply: Reply) -> Reply {
+fn with_answer_headers(id: SubmissionId, answer: &Answer, mut reply: Reply) -> Reply {
     let headers = reply.headers_mut();
     headers.insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
-    headers.insert(ANSWER_CODE, HeaderValue::from(answer.code.number()));
+    headers.insert(ANSWER_CODE_HEADER, HeaderValue::from(answer.code.number()));
     headers.insert(
-        ANSWER_EFFECT,
-        HeaderValue::from_static(effect_word(answer.effect)),
+        ANSWER_EFFECT_HEADER,
+        HeaderValue::from_static(effect_name(answer.effect)),
     );
     if let Ok(id) = HeaderValue::from_str(&id.to_string()) {
-        headers.insert(ANSWER_ID, id);
+        headers.insert(ANSWER_ID_HEADER, id);
     }
     reply
 }
 
-fn effect_word(effect: Effect) -> &'static str {
+fn effect_name(effect: Effect) -> &'static str {
     match effect {
         Effect::NotRun => "not_run",
         Effect::Ran => "ran",
@@ -299,13 +302,13 @@
     }
 }
 
-/// A failure or refusal in full.
-pub(crate) fn refused(id: Option<SubmissionId>, answer: &Answer) -> Reply {
+/// Reply for a failure or refusal.
+pub(crate) fn error_reply(id: Option<SubmissionId>, answer: &Answer) -> Reply {
     let body = json!({
         "id": id.map(|id| id.to_string()),
         "code": answer.code.number(),
         "name": answer.code.name(),
-        "effect": effect_word(answer.effect),
+        "effect": effect_name(answer.effect),
         "message": answer.message,
         "retry_after_ms": answer.retry_after_ms,
     });
@@ -317,7 +320,7 @@
     reply
 }
 
-/// A JSON body with a status.
+/// Reply with a JSON body.
 pub(crate) fn json_reply(status: u16, body: &serde_json::Value) -> Reply {
     let mut reply = Response::new(Full::new(Bytes::from(format!("{body}\n"))));
     *reply.status_mut() = http::StatusCode::from_u16(status).unwrap_or_default();
--- a/src/entry/mod.rs
+++ b/src/entry/mod.rs
@@ -1,7 +1,7 @@
-//! The entry: takes callers' and operators' HTTP and forwards to owners.
+//! Entry: accepts HTTP calls of callers and operators and forwards them to owners.
 //!
-//! It keeps nothing: a view of the fleet, and the questions under way. One loop
-//! holds the router; HTTP handlers talk to it through a [`Handle`].
+//! An entry stores no submissions, only a view of the fleet and the pending requests. One
+//! loop runs the router; HTTP handlers send it events through a [`Handle`].
 
 mod http;
 mod operator;
@@ -33,32 +33,31 @@
 use crate::supervisor::{Stop, Stopper, Supervisor};
 use crate::time::{Moment, Timer};
 
-/// Most events that are handled before frames leave.
-const BATCH: usize = 512;
-/// Time between the first sign of a stop and the end of listening, for the
-/// balancer to notice.
-const LAME_DUCK: Duration = Duration::from_millis(1_000);
-/// Time for the last answers to leave.
-const LAST_ANSWERS: Duration = Duration::from_millis(200);
+/// Maximum number of events handled before frames are sent.
+const MAX_BATCH_EVENTS: usize = 512;
+/// Time to keep listening after a stop request, until the load balancer stops sending calls.
+const LISTEN_AFTER_STOP: Duration = Duration::from_millis(1_000);
+/// Delay at the end of a stop, to send the last answers.
+const FINAL_ANSWERS_DELAY: Duration = Duration::from_millis(200);
 
-/// What an entry is built from.
+/// Parameters of an entry.
 pub struct EntryParts {
-    /// Its settings.
+    /// Settings of the process.
     pub settings: EntrySettings,
     /// The platform's store.
     pub store: Arc<dyn Store>,
     /// Clocks and timers.
     pub timer: Timer,
-    /// Where it logs.
+    /// Logger.
     pub log: Logger,
-    /// Where its metrics go.
+    /// Metrics sink.
     pub metrics: Metrics,
-    /// Distance to peers.
-    pub distance: Arc<dyn LinkDelay>,
+    /// Artificial delay of links to peers.
+    pub link_delay: Arc<dyn LinkDelay>,
 }
 
 impl EntryParts {
-    /// An entry's usual parts around its settings.
+    /// Parameters without metrics and link delay.
     pub fn new(
         settings: EntrySettings,
         store: Arc<dyn Store>,
@@ -71,32 +70,32 @@
             timer,
             log,
             metrics: Metrics::none(),
-            distance: Arc::new(NoDelay),
+            link_delay: Arc::new(NoDelay),
         }
     }
 }
 
-/// What an entry's HTTP side knows of the fleet.
+/// State of the fleet that HTTP handlers read.
 #[derive(Clone, Debug)]
 pub(crate) struct View {
     pub config: Arc<Config>,
     pub revision: u64,
-    /// Whether every range has an owner.
-    pub owned: bool,
+    /// Whether the range table lists owners.
+    pub has_owners: bool,
     pub stopping: bool,
 }
 
-/// A question from an HTTP handler to the loop.
-pub(crate) struct Question {
-    pub ask: Operation,
+/// Request from an HTTP handler that the loop forwards to an owner.
+pub(crate) struct OwnerRequest {
+    pub operation: Operation,
     pub submission: Submission,
     pub fresh: bool,
-    /// Where the answer goes; `None` for a submission that nobody waits for.
+    /// Receives the answer; `None` if no caller waits.
     pub reply: Option<oneshot::Sender<Answer>>,
 }
 
-/// Rows wanted by an operator.
-pub(crate) struct RowsQuestion {
+/// Request for the rows of an operator's table.
+pub(crate) struct RowsQuery {
     pub table: String,
     pub about: Option<SubmissionId>,
     pub reply: oneshot::Sender<Vec<Bytes>>,
@@ -105,8 +104,8 @@
 enum Event {
     Link(LinkEvent),
     Watch(WatchReply),
-    Ask(Box<Question>),
-    Rows(RowsQuestion),
+    Request(Box<OwnerRequest>),
+    Rows(RowsQuery),
     Tick,
     Stop,
 }
@@ -127,7 +126,7 @@
     }
 }
 
-/// How HTTP handlers reach the loop.
+/// Connects HTTP handlers to the loop.
 #[derive(Clone)]
 pub(crate) struct Handle {
     pub timer: Timer,
@@ -138,61 +137,66 @@
 }
 
 impl Handle {
-    /// Asks and waits for the answer.
-    pub async fn ask(&self, ask: Operation, submission: Submission, fresh: bool) -> Option<Answer> {
+    /// Sends a request and waits for the answer.
+    pub async fn call(
+        &self,
+        operation: Operation,
+        submission: Submission,
+        fresh: bool,
+    ) -> Option<Answer> {
         let (tx, rx) = oneshot::channel();
         let reply = Some(tx);
-        let question = Question {
-            ask,
+        let request = OwnerRequest {
+            operation,
             submission,
             fresh,
             reply,
         };
-        let _ = self.tx.send(Event::Ask(Box::new(question)));
+        let _ = self.tx.send(Event::Request(Box::new(request)));
         rx.await.ok()
     }
 
-    /// Asks without waiting.
-    pub fn tell(&self, ask: Operation, submission: Submission, fresh: bool) {
+    /// Sends a request without waiting for the answer.
+    pub fn send(&self, operation: Operation, submission: Submission, fresh: bool) {
         let reply = None;
-        let question = Question {
-            ask,
+        let request = OwnerRequest {
+            operation,
             submission,
             fresh,
             reply,
         };
-        let _ = self.tx.send(Event::Ask(Box::new(question)));
+        let _ = self.tx.send(Event::Request(Box::new(request)));
     }
 
-    /// Collects rows of an operator's table from all members.
+    /// Collects the rows of an operator's table from all members.
     pub async fn rows(&self, table: &str, about: Option<SubmissionId>) -> Vec<Bytes> {
         let (tx, rx) = oneshot::channel();
-        let question = RowsQuestion {
+        let query = RowsQuery {
             table: table.to_string(),
             about,
             reply: tx,
         };
-        let _ = self.tx.send(Event::Rows(question));
+        let _ = self.tx.send(Event::Rows(query));
         rx.await.unwrap_or_default()
     }
 
-    /// What is known of the fleet.
+    /// Current state of the fleet.
     pub fn view(&self) -> View {
         self.view.borrow().clone()
     }
 }
 
-struct RowsPending {
+struct PendingRows {
     missing: usize,
     rows: Vec<Bytes>,
     until_us: u64,
     reply: oneshot::Sender<Vec<Bytes>>,
 }
 
-/// Longest wait for the rows of a member.
-const ROWS_LIMIT: Duration = Duration::from_millis(1_000);
+/// Maximum wait for the members' rows.
+const ROWS_TIMEOUT: Duration = Duration::from_millis(1_000);
 
-/// An entry that has its ports and is ready to run.
+/// Entry with bound ports, ready to run.
 pub struct Entry {
     core: Core,
     handle: Handle,
@@ -211,13 +215,13 @@
     settings: EntrySettings,
     view: watch::Sender<View>,
     callers: HashMap<u64, oneshot::Sender<Answer>>,
-    numbers: u64,
-    rows: HashMap<u64, RowsPending>,
+    last_number: u64,
+    rows: HashMap<u64, PendingRows>,
     stopping: bool,
 }
 
 impl Entry {
-    /// Binds the ports and builds the parts.
+    /// Binds the ports.
     pub async fn bind(parts: EntryParts) -> Result<Entry> {
         let settings = parts.settings;
         let peer_listener = TcpListener::bind(settings.process.peer_listen).await?;
@@ -225,12 +229,12 @@
         let (peer_addr, http_addr) = (peer_listener.local_addr()?, http_listener.local_addr()?);
         let me = MemberId::new(&settings.process.name, rand::random());
         let (link_tx, link_events) = unbounded_channel();
-        let links = Links::new(me.clone(), parts.timer.clone(), parts.distance, link_tx);
+        let links = Links::new(me.clone(), parts.timer.clone(), parts.link_delay, link_tx);
         let fleet = Fleet::new(Config::empty());
         let (view, view_rx) = watch::channel(View {
             config: fleet.config().clone(),
             revision: 0,
-            owned: false,
+            has_owners: false,
             stopping: false,
         });
         let (tx, events) = unbounded_channel();
@@ -248,7 +252,7 @@
             settings,
             view,
             callers: HashMap::new(),
-            numbers: 0,
+            last_number: 0,
             rows: HashMap::new(),
             stopping: false,
         };
@@ -264,36 +268,36 @@
         })
     }
 
-    /// Where callers and operators reach it.
+    /// Address for callers and operators.
     pub fn http_addr(&self) -> SocketAddr {
         self.http_addr
     }
 
-    /// Counts of its messages.
+    /// Counters of sent messages.
     pub fn message_counters(&self) -> Arc<MessageCounters> {
         self.core.node.message_counters.clone()
     }
 
-    /// Where peers reach it.
+    /// Address for peers.
     pub fn peer_addr(&self) -> SocketAddr {
         self.peer_addr
     }
 
-    /// Runs until `stop`, then answers what is under way and ends.
+    /// Runs until `stop`, then answers pending requests and returns.
     pub async fn run(self, stop: Stop) -> Result<()> {
         let core = self.core;
         let handle = self.handle;
         let (timer, log) = (core.node.timer.clone(), core.node.log.clone());
         let links = core.node.links.clone();
         let (http_stopper, http_stop) = Stopper::new();
-        let mut tree = Supervisor::new(log.clone(), timer.clone());
+        let mut supervisor = Supervisor::new(log.clone(), timer.clone());
         let peer_listener = self.peer_listener;
-        tree.vital("peers", async move {
+        supervisor.vital("peers", async move {
             links.serve(peer_listener, std::future::pending()).await
         });
         let (store, watch_timer, watch_tx) =
             (handle.store.clone(), timer.clone(), handle.tx.clone());
-        tree.restarting("watch", move || {
+        supervisor.restarting("watch", move || {
             let watch = watch_store(
                 store.clone(),
                 watch_timer.clone(),
@@ -312,21 +316,21 @@
             handle.tx.clone(),
         ));
         let serving = tokio::spawn(http::serve(self.http_listener, handle, http_stop));
-        tree.vital("core", async move {
+        supervisor.vital("core", async move {
             core.run(self.events, http_stopper).await;
             let _ = serving.await;
             Ok(())
         });
-        tree.run().await
+        supervisor.run().await
     }
 }
 
 impl Core {
     async fn run(mut self, mut events: UnboundedReceiver<Event>, http: Stopper) {
-        let mut batch = Vec::with_capacity(BATCH);
-        let mut until_us = None;
+        let mut batch = Vec::with_capacity(MAX_BATCH_EVENTS);
+        let mut listen_until_us = None;
         loop {
-            if events.recv_many(&mut batch, BATCH).await == 0 {
+            if events.recv_many(&mut batch, MAX_BATCH_EVENTS).await == 0 {
                 break;
             }
             let now = self.node.timer.now();
@@ -334,40 +338,40 @@
                 self.handle(now, event);
             }
             self.flush();
-            if self.stopping && until_us.is_none() {
-                until_us = Some(now.after(LAME_DUCK));
+            if self.stopping && listen_until_us.is_none() {
+                listen_until_us = Some(now.after(LISTEN_AFTER_STOP));
             }
-            if until_us.is_some_and(|until| now.mono_us >= until) {
+            if listen_until_us.is_some_and(|until| now.mono_us >= until) {
                 http.stop();
-                if self.router.is_empty() || self.past_limit(now, until_us) {
+                if self.router.is_empty() || self.is_past_stop_limit(now, listen_until_us) {
                     break;
                 }
             }
         }
-        self.node.timer.sleep(LAST_ANSWERS).await;
+        self.node.timer.sleep(FINAL_ANSWERS_DELAY).await;
         info!(self.node.log, "stopped"; "unanswered" => self.router.len());
     }
 
-    fn past_limit(&self, now: Moment, until_us: Option<u64>) -> bool {
+    fn is_past_stop_limit(&self, now: Moment, listen_until_us: Option<u64>) -> bool {
         let limit_us = self.settings.process.stop_ms * 1_000;
-        until_us.is_some_and(|until| now.mono_us >= until + limit_us)
+        listen_until_us.is_some_and(|until| now.mono_us >= until + limit_us)
     }
 
     fn handle(&mut self, now: Moment, event: Event) {
         match event {
             Event::Link(event) => self.on_link(now, event),
             Event::Watch(reply) => self.on_watch(now, reply),
-            Event::Ask(question) => self.on_question(now, *question),
-            Event::Rows(question) => self.on_rows_question(now, question),
+            Event::Request(request) => self.on_request(now, *request),
+            Event::Rows(query) => self.on_rows_query(now, query),
             Event::Tick => {
                 let actions = self.router.tick(now, &self.node.fleet);
                 self.apply(actions);
-                self.end_rows(now);
+                self.finish_rows(now);
             }
             Event::Stop => {
                 info!(self.node.log, "stopping"; "under_way" => self.router.len());
                 self.stopping = true;
-                self.publish();
+                self.publish_view();
             }
         }
     }
@@ -377,17 +381,17 @@
         self.node.flush(|peer| loads.for_frame(peer));
     }
 
-    fn on_question(&mut self, now: Moment, question: Question) {
-        self.numbers += 1;
-        let caller = question.reply.is_some().then_some(self.numbers);
-        if let Some(reply) = question.reply {
-            self.callers.insert(self.numbers, reply);
+    fn on_request(&mut self, now: Moment, request: OwnerRequest) {
+        self.last_number += 1;
+        let caller = request.reply.is_some().then_some(self.last_number);
+        if let Some(reply) = request.reply {
+            self.callers.insert(self.last_number, reply);
         }
         let fleet = &self.node.fleet;
-        let (ask, submission) = (question.ask, question.submission);
+        let (operation, submission) = (request.operation, request.submission);
         let actions = self
             .router
-            .ask(now, fleet, ask, caller, submission, question.fresh);
+            .ask(now, fleet, operation, caller, submission, request.fresh);
         self.apply(actions);
     }
 
@@ -450,8 +454,8 @@
                 self.node.send(from, Message::Snapshot(snapshot));
             }
             Message::Snapshot(snapshot) => {
-                let news = self.node.apply_snapshot(*snapshot);
-                self.on_news(now, news);
+                let changes = self.node.apply_snapshot(*snapshot);
+                self.on_fleet_changes(now, changes);
             }
             Message::Rows { request, rows } => self.on_rows(request, rows),
             _ => {}
@@ -462,8 +466,8 @@
         match reply {
             Ok(StoreReply::Entries { revision, entries }) => {
                 self.router.set_store_down(false);
-                let news = self.node.apply_entries(revision, &entries);
-                self.on_news(now, news);
+                let changes = self.node.apply_entries(revision, &entries);
+                self.on_fleet_changes(now, changes);
             }
             _ => {
                 self.router.set_store_down(true);
@@ -472,47 +476,47 @@
         }
     }
 
-    fn on_news(&mut self, now: Moment, news: FleetChanges) {
-        if news.config || news.table {
-            self.publish();
+    fn on_fleet_changes(&mut self, now: Moment, changes: FleetChanges) {
+        if changes.config || changes.table {
+            self.publish_view();
         }
-        if news.table || news.members {
+        if changes.table || changes.members {
             self.node.dial_members(|_| true);
             let actions = self.router.table_changed(now, &self.node.fleet);
             self.apply(actions);
         }
     }
 
-    /// Tells the HTTP side what is in force.
-    fn publish(&self) {
+    /// Publishes the current view to the HTTP handlers.
+    fn publish_view(&self) {
         self.view.send_replace(View {
             config: self.node.fleet.config().clone(),
             revision: self.node.fleet.config_revision(),
-            owned: !self.node.fleet.table().rows.is_empty(),
+            has_owners: !self.node.fleet.table().rows.is_empty(),
             stopping: self.stopping,
         });
     }
 
-    fn on_rows_question(&mut self, now: Moment, question: RowsQuestion) {
-        self.numbers += 1;
-        let request = self.numbers;
+    fn on_rows_query(&mut self, now: Moment, query: RowsQuery) {
+        self.last_number += 1;
+        let request = self.last_number;
         let members: Vec<MemberId> = self.node.fleet.members().keys().cloned().collect();
         for member in &members {
             let message = Message::RowsRequest {
                 request,
-                table: question.table.clone(),
-                about: question.about,
+                table: query.table.clone(),
+                about: query.about,
             };
             self.node.send(member, message);
         }
-        let pending = RowsPending {
+        let pending = PendingRows {
             missing: members.len(),
-            rows: self.own_rows(&question.table),
-            until_us: now.after(ROWS_LIMIT),
-            reply: question.reply,
+            rows: self.own_rows(&query.table),
+            until_us: now.after(ROWS_TIMEOUT),
+            reply: query.reply,
         };
         self.rows.insert(request, pending);
-        self.end_rows(now);
+        self.finish_rows(now);
     }
 
     fn own_rows(&self, table: &str) -> Vec<Bytes> {
@@ -541,12 +545,13 @@
             pending.missing = pending.missing.saturating_sub(1);
         }
         let now = self.node.timer.now();
-        self.end_rows(now);
+        self.finish_rows(now);
     }
 
-    fn end_rows(&mut self, now: Moment) {
-        let over = |one: &RowsPending| one.missing == 0 || one.until_us <= now.mono_us;
-        let ended = self.rows.extract_if(|_, pending| over(pending));
+    fn finish_rows(&mut self, now: Moment) {
+        let is_done =
+            |pending: &PendingRows| pending.missing == 0 || pending.until_us <= now.mono_us;
+        let ended = self.rows.extract_if(|_, pending| is_done(pending));
         ended.for_each(|(_, pending)| {
             let _ = pending.reply.send(pending.rows);
         });
--- a/src/entry/operator.rs
+++ b/src/entry/operator.rs
@@ -1,4 +1,4 @@
-//! What operators ask of an entry: configuration, its trail, drains, tables.
+//! HTTP calls of operators: configuration, its history, drains, evacuations and tables.
 
 use bytes::Bytes;
 use http::{Method, Request};
@@ -10,14 +10,14 @@
 use crate::code::ResultCode;
 use crate::config_store::{ConfigStore, Edit, Proposal};
 use crate::entry::Handle;
-use crate::entry::http::{Reply, json_reply, read_body, refused};
-use crate::entry::parse::refuse;
+use crate::entry::http::{Reply, error_reply, json_reply, read_body};
+use crate::entry::parse::refusal;
 use crate::error::Error;
 use crate::fleet::ConfigRecord;
 use crate::id::SubmissionId;
 
-/// Tables that members fill.
-const TABLES: &[&str] = &[
+/// Tables whose rows come from the members.
+const MEMBER_TABLES: &[&str] = &[
     "requests", "jobs", "tasks", "steps", "targets", "workers", "members", "ranges",
 ];
 
@@ -41,7 +41,7 @@
     change_id: String,
 }
 
-/// Answers an operator.
+/// Answers an operator's call.
 pub(crate) async fn route(
     handle: &Handle,
     method: &Method,
@@ -60,29 +60,29 @@
         }
         (&Method::GET, ["services"]) => json_reply(200, &services(handle)),
         (&Method::GET, ["tables", name]) => table(handle, name, req.uri().query()).await,
-        _ => refused(
+        _ => error_reply(
             None,
-            &refuse(ResultCode::NotFound, "path: no such operator call"),
+            &refusal(ResultCode::NotFound, "path: no such operator call"),
         ),
     }
 }
 
-fn store(handle: &Handle) -> ConfigStore {
+fn config_store(handle: &Handle) -> ConfigStore {
     ConfigStore::new(handle.store.clone(), handle.timer.clone())
 }
 
 async fn config(handle: &Handle) -> Reply {
-    match store(handle).read().await {
-        Ok(Some((record, _))) => json_reply(200, &document(&record)),
+    match config_store(handle).read().await {
+        Ok(Some((record, _))) => json_reply(200, &config_json(&record)),
         Ok(None) => json_reply(
             200,
             &json!({ "revision": 0, "document": "", "drained": [], "evacuated": [] }),
         ),
-        Err(err) => failure(&err),
+        Err(err) => config_error_reply(&err),
     }
 }
 
-fn document(record: &ConfigRecord) -> Value {
+fn config_json(record: &ConfigRecord) -> Value {
     json!({
         "revision": record.revision,
         "document": record.document,
@@ -92,12 +92,12 @@
 }
 
 async fn history(handle: &Handle) -> Reply {
-    match store(handle).read().await {
+    match config_store(handle).read().await {
         Ok(record) => {
             let changes = record.map(|(record, _)| record.changes).unwrap_or_default();
             json_reply(200, &json!(changes))
         }
-        Err(err) => failure(&err),
+        Err(err) => config_error_reply(&err),
     }
 }
 
@@ -124,7 +124,7 @@
         target: target.to_string(),
         drained,
     };
-    switch(handle, edit, req).await
+    propose_edit(handle, edit, req).await
 }
 
 async fn evacuate(handle: &Handle, domain: &str, evacuated: bool, req: Request<Incoming>) -> Reply {
@@ -132,11 +132,11 @@
         domain: domain.to_string(),
         evacuated,
     };
-    switch(handle, edit, req).await
+    propose_edit(handle, edit, req).await
 }
 
-/// Proposes an edit that the path of a request names.
-async fn switch(handle: &Handle, edit: Edit, req: Request<Incoming>) -> Reply {
+/// Reads the rest of a change from the body and proposes the edit.
+async fn propose_edit(handle: &Handle, edit: Edit, req: Request<Incoming>) -> Reply {
     let body: SwitchBody = match read_json(handle, req).await {
         Ok(body) => body,
         Err(reply) => return reply,
@@ -151,17 +151,17 @@
 }
 
 async fn propose(handle: &Handle, proposal: Proposal) -> Reply {
-    match store(handle).propose(&proposal).await {
+    match config_store(handle).propose(&proposal).await {
         Ok(revision) => {
             info!(handle.log, "configuration accepted"; "revision" => revision,
                 "who" => &proposal.who, "change" => &proposal.change_id);
             json_reply(200, &json!({ "revision": revision }))
         }
-        Err(err) => failure(&err),
+        Err(err) => config_error_reply(&err),
     }
 }
 
-fn failure(err: &Error) -> Reply {
+fn config_error_reply(err: &Error) -> Reply {
     let (status, current) = match err {
         Error::Invalid(_) => (400, None),
         Error::Conflict(current) => (409, Some(*current)),
@@ -179,10 +179,10 @@
 ) -> Result<T, Reply> {
     let body = read_body(handle, req.into_body())
         .await
-        .map_err(|answer| refused(None, &answer))?;
+        .map_err(|answer| error_reply(None, &answer))?;
     serde_json::from_slice(&body).map_err(|err| {
         let text = format!("body: {err}");
-        refused(None, &refuse(ResultCode::BadRequest, &text))
+        error_reply(None, &refusal(ResultCode::BadRequest, &text))
     })
 }
 
@@ -211,18 +211,18 @@
     match name {
         "services" => json_reply(200, &services(handle)),
         "changes" => history(handle).await,
-        name if TABLES.contains(&name) => {
+        name if MEMBER_TABLES.contains(&name) => {
             let rows = handle.rows(name, about).await;
-            json_reply(200, &merge(&rows))
+            json_reply(200, &merge_rows(&rows))
         }
-        _ => refused(
+        _ => error_reply(
             None,
-            &refuse(ResultCode::NotFound, &format!("table: no `{name}`")),
+            &refusal(ResultCode::NotFound, &format!("table: no `{name}`")),
         ),
     }
 }
 
-fn merge(parts: &[Bytes]) -> Value {
+fn merge_rows(parts: &[Bytes]) -> Value {
     let parts = parts
         .iter()
         .filter_map(|part| serde_json::from_slice::<Vec<Value>>(part).ok());
--- a/src/entry/parse.rs
+++ b/src/entry/parse.rs
@@ -1,4 +1,4 @@
-//! What callers send, made into submissions; faults name their field.
+//! Parses callers' requests into submissions. A refusal names the invalid field.
 
 use std::sync::Arc;
 
@@ -12,7 +12,7 @@
 use crate::id::SubmissionId;
 use crate::message::{Answer, Submission};
 
-/// Header with the caller's id.
+/// Header with the submission id.
 pub const ID_HEADER: &str = "idempotency-key";
 /// Header with the time until the deadline in milliseconds.
 pub const DEADLINE_HEADER: &str = "winghold-deadline-ms";
@@ -22,19 +22,19 @@
 pub const TEAM_HEADER: &str = "winghold-team";
 /// Header with the priority.
 pub const PRIORITY_HEADER: &str = "winghold-priority";
-/// Header by which a caller declares that it never sent this id before.
+/// Header that declares the first attempt of an id.
 pub const ATTEMPT_HEADER: &str = "winghold-attempt";
 
-/// A submission and whether nobody can have sent its id before.
+/// Parsed submission.
 #[derive(Debug)]
 pub struct Parsed {
     /// The submission.
     pub submission: Submission,
-    /// Whether its id is new.
+    /// Whether its id cannot have been sent before.
     pub fresh: bool,
 }
 
-/// Result of reading what a caller sent; the error is its answer.
+/// Result of parsing; the error is the answer to the caller.
 pub type ParseResult<T> = Result<T, Answer>;
 
 #[derive(Debug, Deserialize)]
@@ -49,7 +49,7 @@
 }
 
 #[derive(Debug, Default)]
-struct Wishes {
+struct SubmissionOptions {
     id: Option<String>,
     kind: Option<String>,
     team: Option<String>,
@@ -57,7 +57,7 @@
     deadline_ms: Option<u64>,
 }
 
-/// A request: its body goes to the target as it is.
+/// Parses a request, whose body is the payload.
 pub fn request(
     config: &Config,
     service: &str,
@@ -66,11 +66,19 @@
     wall_ms: u64,
 ) -> ParseResult<Parsed> {
     check_json("body", &body)?;
-    let wishes = header_wishes(headers)?;
-    build(config, service, headers, wishes, vec![body], false, wall_ms)
+    let options = options_from_headers(headers)?;
+    build_submission(
+        config,
+        service,
+        headers,
+        options,
+        vec![body],
+        false,
+        wall_ms,
+    )
 }
 
-/// A job: its body lists the tasks.
+/// Parses a job, whose body lists the tasks.
 pub fn job(
     config: &Config,
     service: &str,
@@ -79,31 +87,31 @@
     wall_ms: u64,
 ) -> ParseResult<Parsed> {
     let job: JobBody = serde_json::from_slice(body)
-        .map_err(|err| refuse(ResultCode::BadRequest, &format!("body: {err}")))?;
-    check_count(config, job.tasks.len())?;
-    let by_header = header_wishes(headers)?;
-    let wishes = Wishes {
-        id: job.id.or(by_header.id),
-        kind: job.kind.or(by_header.kind),
-        team: job.team.or(by_header.team),
-        priority: job.priority.or(by_header.priority),
-        deadline_ms: job.deadline_ms.or(by_header.deadline_ms),
+        .map_err(|err| refusal(ResultCode::BadRequest, &format!("body: {err}")))?;
+    check_task_count(config, job.tasks.len())?;
+    let header_options = options_from_headers(headers)?;
+    let options = SubmissionOptions {
+        id: job.id.or(header_options.id),
+        kind: job.kind.or(header_options.kind),
+        team: job.team.or(header_options.team),
+        priority: job.priority.or(header_options.priority),
+        deadline_ms: job.deadline_ms.or(header_options.deadline_ms),
     };
     let payload = |task: &serde_json::value::RawValue| Bytes::from(task.get().to_string());
     let tasks = job.tasks.iter().map(|task| payload(task)).collect();
-    build(config, service, headers, wishes, tasks, true, wall_ms)
+    build_submission(config, service, headers, options, tasks, true, wall_ms)
 }
 
 fn check_json(field: &str, body: &[u8]) -> ParseResult<()> {
     let parsed: Result<&serde_json::value::RawValue, _> = serde_json::from_slice(body);
     parsed
         .map(|_| ())
-        .map_err(|err| refuse(ResultCode::BadRequest, &format!("{field}: {err}")))
+        .map_err(|err| refusal(ResultCode::BadRequest, &format!("{field}: {err}")))
 }
 
-fn check_count(config: &Config, count: usize) -> ParseResult<()> {
+fn check_task_count(config: &Config, count: usize) -> ParseResult<()> {
     if count == 0 {
-        return Err(refuse(
+        return Err(refusal(
             ResultCode::BadRequest,
             "tasks: a job needs at least one",
         ));
@@ -113,37 +121,37 @@
             "tasks: {count} are over the limit of {}",
             config.limits.job_tasks
         );
-        return Err(refuse(ResultCode::TooLarge, &text));
+        return Err(refusal(ResultCode::TooLarge, &text));
     }
     Ok(())
 }
 
-fn header_wishes(headers: &HeaderMap) -> ParseResult<Wishes> {
-    Ok(Wishes {
-        id: text(headers, ID_HEADER)?.map(str::to_string),
-        kind: text(headers, KIND_HEADER)?.map(str::to_string),
-        team: text(headers, TEAM_HEADER)?.map(str::to_string),
-        priority: number(headers, PRIORITY_HEADER)?,
-        deadline_ms: number(headers, DEADLINE_HEADER)?,
+fn options_from_headers(headers: &HeaderMap) -> ParseResult<SubmissionOptions> {
+    Ok(SubmissionOptions {
+        id: header_text(headers, ID_HEADER)?.map(str::to_string),
+        kind: header_text(headers, KIND_HEADER)?.map(str::to_string),
+        team: header_text(headers, TEAM_HEADER)?.map(str::to_string),
+        priority: header_number(headers, PRIORITY_HEADER)?,
+        deadline_ms: header_number(headers, DEADLINE_HEADER)?,
     })
 }
 
-fn text<'h>(headers: &'h HeaderMap, name: &str) -> ParseResult<Option<&'h str>> {
+fn header_text<'h>(headers: &'h HeaderMap, name: &str) -> ParseResult<Option<&'h str>> {
     let Some(value) = headers.get(name) else {
         return Ok(None);
     };
     let text = value.to_str();
     text.map(Some)
-        .map_err(|_| refuse(ResultCode::BadRequest, &format!("{name}: not text")))
+        .map_err(|_| refusal(ResultCode::BadRequest, &format!("{name}: not text")))
 }
 
-fn number<T: std::str::FromStr>(headers: &HeaderMap, name: &str) -> ParseResult<Option<T>> {
-    let Some(text) = text(headers, name)? else {
+fn header_number<T: std::str::FromStr>(headers: &HeaderMap, name: &str) -> ParseResult<Option<T>> {
+    let Some(text) = header_text(headers, name)? else {
         return Ok(None);
     };
     let number = text.trim().parse();
     let fault = || {
-        refuse(
+        refusal(
             ResultCode::BadRequest,
             &format!("{name}: `{text}` is no number"),
         )
@@ -151,29 +159,29 @@
     number.map(Some).map_err(|_| fault())
 }
 
-fn build(
+fn build_submission(
     config: &Config,
     service: &str,
     headers: &HeaderMap,
-    wishes: Wishes,
+    options: SubmissionOptions,
     tasks: Vec<Bytes>,
     is_job: bool,
     wall_ms: u64,
 ) -> ParseResult<Parsed> {
     let service = find_service(config, service)?;
-    let kind = find_kind(service, wishes.kind.as_deref())?;
-    check_team(config, wishes.team.as_deref())?;
-    let (id, minted) = id(wishes.id.as_deref(), wall_ms)?;
-    let budget_ms = deadline(config, kind, wishes.deadline_ms)?;
-    let first = headers
+    let kind = find_kind(service, options.kind.as_deref())?;
+    check_team(config, options.team.as_deref())?;
+    let (id, is_generated) = parse_or_generate_id(options.id.as_deref(), wall_ms)?;
+    let budget_ms = resolve_deadline_ms(config, kind, options.deadline_ms)?;
+    let is_first_attempt = headers
         .get(ATTEMPT_HEADER)
         .is_some_and(|value| value == "first");
     let mut submission = Submission {
         id,
         service: Arc::from(service.name.as_str()),
         kind: Arc::from(kind.name.as_str()),
-        team: wishes.team.as_deref().map(Arc::from),
-        priority: wishes.priority.unwrap_or(kind.priority),
+        team: options.team.as_deref().map(Arc::from),
+        priority: options.priority.unwrap_or(kind.priority),
         budget_ms,
         is_job,
         digest: 0,
@@ -181,20 +189,20 @@
         tasks,
     };
     submission.digest = digest(&submission);
-    let fresh = minted || first;
+    let fresh = is_generated || is_first_attempt;
     Ok(Parsed { submission, fresh })
 }
 
 fn find_service<'c>(config: &'c Config, name: &str) -> ParseResult<&'c Service> {
     let service = config.service(name);
-    service.ok_or_else(|| refuse(ResultCode::NotFound, &format!("service: no `{name}`")))
+    service.ok_or_else(|| refusal(ResultCode::NotFound, &format!("service: no `{name}`")))
 }
 
 fn find_kind<'s>(service: &'s Service, name: Option<&str>) -> ParseResult<&'s Kind> {
     let kind = service.kind(name);
     let fault = || {
         let name = name.unwrap_or_default();
-        refuse(
+        refusal(
             ResultCode::NotFound,
             &format!("kind: `{}` has no `{name}`", service.name),
         )
@@ -205,43 +213,47 @@
 fn check_team(config: &Config, team: Option<&str>) -> ParseResult<()> {
     match team {
         Some(team) if config.team(team).is_none() => {
-            Err(refuse(ResultCode::NotFound, &format!("team: no `{team}`")))
+            Err(refusal(ResultCode::NotFound, &format!("team: no `{team}`")))
         }
         _ => Ok(()),
     }
 }
 
-fn deadline(config: &Config, kind: &Kind, wish: Option<u64>) -> ParseResult<u64> {
-    let most = config.limits.deadline_ms;
-    match wish {
+fn resolve_deadline_ms(
+    config: &Config,
+    kind: &Kind,
+    requested_ms: Option<u64>,
+) -> ParseResult<u64> {
+    let max_ms = config.limits.deadline_ms;
+    match requested_ms {
         None => Ok(kind.deadline_ms),
-        Some(0) => Err(refuse(
+        Some(0) => Err(refusal(
             ResultCode::BadRequest,
             "deadline_ms: must be above 0",
         )),
-        Some(ms) if ms > most => Err(refuse(
+        Some(ms) if ms > max_ms => Err(refusal(
             ResultCode::BadRequest,
-            &format!("deadline_ms: over the limit of {most}"),
+            &format!("deadline_ms: over the limit of {max_ms}"),
         )),
         Some(ms) => Ok(ms),
     }
 }
 
-/// Reads an id, or mints one; says whether it was minted.
-fn id(text: Option<&str>, wall_ms: u64) -> ParseResult<(SubmissionId, bool)> {
+/// Parses or generates an id, and returns whether it was generated.
+fn parse_or_generate_id(text: Option<&str>, wall_ms: u64) -> ParseResult<(SubmissionId, bool)> {
     match text {
         Some(text) => Ok((parse_id(text)?, false)),
         None => Ok((SubmissionId::random(wall_ms), true)),
     }
 }
 
-/// Reads an id.
+/// Parses an id.
 pub fn parse_id(text: &str) -> ParseResult<SubmissionId> {
     text.parse()
-        .map_err(|err: crate::error::Error| refuse(ResultCode::BadId, &err.to_string()))
+        .map_err(|err: crate::error::Error| refusal(ResultCode::BadId, &err.to_string()))
 }
 
-/// Hash over everything that two submissions of one id must have alike.
+/// Hash of the parts that must be equal when an id is sent again.
 fn digest(submission: &Submission) -> u64 {
     let mut hash = Xxh3::new();
     hash.update(submission.service.as_bytes());
@@ -254,7 +266,7 @@
     hash.digest()
 }
 
-/// A refusal at the door.
-pub fn refuse(code: ResultCode, text: &str) -> Answer {
+/// Answer to a request that the entry rejects.
+pub fn refusal(code: ResultCode, text: &str) -> Answer {
     Answer::not_run(code, text)
 }
--- a/src/host.rs
+++ b/src/host.rs
@@ -1,5 +1,5 @@
-//! A process of a local fleet as a thread with a runtime of its own, which can
-//! be stopped in order, killed, or frozen.
+//! Runs a process of a local fleet in a thread with its own runtime, which can be stopped,
+//! killed or frozen.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -14,21 +14,21 @@
 use crate::node::MessageCounters;
 use crate::supervisor::{Stop, Stopper};
 
-/// What a process tells when it is ready.
+/// Report of a process that is ready.
 pub struct Ready {
-    /// Where it can be reached.
+    /// Address of its listener.
     pub addr: SocketAddr,
-    /// Counts of its messages.
+    /// Counters of sent messages.
     pub message_counters: Arc<MessageCounters>,
 }
 
-/// A process of the fleet, as a thread.
+/// Process of a local fleet that runs in a thread.
 pub struct Host {
-    /// Its name.
+    /// Name of the process.
     pub name: String,
-    /// Where it can be reached: HTTP for entries, peers for agents.
+    /// Address of its listener: HTTP of an entry, peer port of an agent.
     pub addr: SocketAddr,
-    /// Counts of its messages.
+    /// Counters of sent messages.
     pub message_counters: Arc<MessageCounters>,
     stopper: Stopper,
     kill: Option<oneshot::Sender<()>>,
@@ -37,7 +37,7 @@
 }
 
 impl Host {
-    /// Runs `process` on a thread; it reports its address when it is ready.
+    /// Starts `process` in a thread and waits until it is ready.
     pub fn start<F, M>(name: &str, process: M) -> Result<Host>
     where
         M: FnOnce(Stop, Sender<Ready>) -> F + Send + 'static,
@@ -46,10 +46,10 @@
         let (stopper, stop) = Stopper::new();
         let (kill, killed) = oneshot::channel();
         let (freeze, freezes) = unbounded_channel();
-        let (ready, readied) = channel();
+        let (ready, ready_rx) = channel();
         let thread = std::thread::Builder::new().name(name.to_string());
         let thread = thread.spawn(move || run_process(process(stop, ready), killed, freezes))?;
-        let ready = readied.recv();
+        let ready = ready_rx.recv();
         let ready = ready.map_err(|_| Error::Other(format!("{name} did not start")))?;
         Ok(Host {
             name: name.to_string(),
@@ -62,17 +62,17 @@
         })
     }
 
-    /// Names this run of the process.
+    /// Name that tells this run from other runs of the process.
     pub fn run_name(&self) -> String {
         format!("{} at {}", self.name, self.addr)
     }
 
-    /// Asks it to stop in order.
+    /// Requests a graceful stop.
     pub fn stop(&self) {
         self.stopper.stop();
     }
 
-    /// Waits until it has ended.
+    /// Waits until the process has ended.
     pub fn join(&mut self) -> Result<()> {
         match self.thread.take().map(JoinHandle::join) {
             Some(Ok(result)) => result,
@@ -81,7 +81,7 @@
         }
     }
 
-    /// Ends it at once, as a crash would.
+    /// Ends the process immediately, like a crash.
     pub fn kill(&mut self) {
         if let Some(kill) = self.kill.take() {
             let _ = kill.send(());
@@ -89,13 +89,13 @@
         let _ = self.join();
     }
 
-    /// Keeps it from doing anything for a while.
+    /// Blocks the process for `span`.
     pub fn freeze(&self, span: Duration) {
         let _ = self.freeze.send(span);
     }
 
-    /// Whether it has ended.
-    pub fn ended(&self) -> bool {
+    /// Whether the process has ended.
+    pub fn has_ended(&self) -> bool {
         self.thread.as_ref().is_none_or(JoinHandle::is_finished)
     }
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,9 +1,9 @@
 //! winghold, a dispatcher for sub-second tasks.
 //!
-//! Decisions are state machines without I/O or clocks of their own
-//! ([`owner`], [`gate`], [`ownership`], [`placement`], [`router`]); the tokio
-//! side around them ([`agent`], [`entry`], [`link`]) feeds them messages and
-//! moments and carries out what they ask for. docs/ARCHITECTURE.md is the map.
+//! Decisions are made by state machines without I/O or clocks ([`owner`], [`gate`],
+//! [`ownership`], [`placement`], [`router`]). The tokio processes around them ([`agent`],
+//! [`entry`], [`link`]) pass them messages and the current time, and perform the actions that
+//! they return. docs/ARCHITECTURE.md has an overview.
 
 #![warn(missing_docs)]
 
--- a/src/local.rs
+++ b/src/local.rs
@@ -1,9 +1,7 @@
-//! A whole fleet in one process: stand-in store, targets, agents and entries.
+//! Runs a whole fleet in one process: stand-in store, targets, agents and entries.
 //!
-//! Every process of the fleet becomes a thread with a runtime of its own, and
-//! they talk over loopback as they would elsewhere. So a thread can be stopped
-//! in order, killed, or frozen, and the others see what they would see of a
-//! process.
+//! Each process of the fleet runs in a thread with its own runtime and communicates over
+//! loopback, so it can be stopped, killed or frozen like a separate process.
 
 use std::collections::{HashMap, HashSet};
 use std::net::SocketAddr;
@@ -35,27 +33,27 @@
 use crate::time::Timer;
 use crate::worker::HttpWorker;
 
-/// How often a fleet that starts is asked whether it is ready.
+/// Interval of the readiness checks of a starting fleet.
 const READY_POLL: Duration = Duration::from_millis(50);
-/// Workers of one rack.
+/// Workers per rack.
 const WORKERS_PER_RACK: usize = 3;
 
-/// How a local fleet is laid out.
+/// Options of a local fleet.
 #[derive(Clone, Debug)]
 pub struct LocalOptions {
-    /// Targets of each service.
+    /// Number of targets per service.
     pub targets: usize,
-    /// Slots of each target.
+    /// Slots per target.
     pub slots: u32,
-    /// Entries.
+    /// Number of entries.
     pub entries: usize,
     /// One-way delay between failure domains.
     pub domain_delay: Duration,
-    /// Where the first entry listens for callers; free ports otherwise.
+    /// HTTP address of the first entry; the others use free ports.
     pub http_listen: SocketAddr,
-    /// Rates of the store.
+    /// Rate limits of the store.
     pub rates: StoreRates,
-    /// Seed of random choices.
+    /// Seed of the agents' random choices.
     pub seed: u64,
 }
 
@@ -73,17 +71,17 @@
     }
 }
 
-/// Delay between processes by their failure domains.
-struct DomainDistance {
-    own: String,
+/// Link delay between processes of different failure domains.
+struct DomainDelay {
+    own_domain: String,
     domains: Arc<HashMap<String, String>>,
-    between: Duration,
+    delay: Duration,
 }
 
-impl LinkDelay for DomainDistance {
+impl LinkDelay for DomainDelay {
     fn delay(&self, from: &MemberId) -> Duration {
         match self.domains.get(&*from.name) {
-            Some(domain) if *domain != self.own => self.between,
+            Some(domain) if *domain != self.own_domain => self.delay,
             _ => Duration::ZERO,
         }
     }
@@ -91,68 +89,68 @@
 
 /// An agent and its target.
 pub struct LocalAgent {
-    /// The agent; `None` while it is down.
+    /// The agent process.
     pub host: Host,
     /// Its target.
     pub target: StandInTarget,
     settings: AgentSettings,
 }
 
-/// A fleet in this process.
-pub struct Local {
+/// Fleet that runs in this process.
+pub struct LocalFleet {
     /// The store.
     pub store: StandInStore,
     /// The agents with their targets.
     pub agents: Vec<LocalAgent>,
     /// The entries.
     pub entries: Vec<Host>,
-    /// Starts at all targets.
+    /// Log of the starts at all targets.
     pub starts: Arc<StartLog>,
-    /// The clock of the whole fleet.
+    /// Clock of the fleet.
     pub timer: Timer,
-    ended: MessageCounts,
+    ended_messages: MessageCounts,
     store_addr: SocketAddr,
     options: LocalOptions,
     domains: Arc<HashMap<String, String>>,
     log: Logger,
-    _platform: Platform,
+    _stand_ins: StandInThread,
 }
 
-/// The stand-ins' thread; they end with it.
-struct Platform {
-    _end: oneshot::Sender<()>,
+/// Thread of the stand-ins, which ends when this is dropped.
+struct StandInThread {
+    _stop: oneshot::Sender<()>,
 }
 
-impl Local {
-    /// Starts a fleet with the configuration in `document`.
-    pub fn start(document: &str, options: LocalOptions, log: Logger) -> Result<Local> {
+impl LocalFleet {
+    /// Starts a fleet with the configuration `document`.
+    pub fn start(document: &str, options: LocalOptions, log: Logger) -> Result<LocalFleet> {
         let config = Config::from_yaml(document)?;
         let timer = Timer::start();
         let store = StandInStore::new(timer.clone(), options.rates);
         let starts = Arc::new(StartLog::default());
-        let plans = plan(&config, &options);
+        let plans = plan_agents(&config, &options);
         let targets: Vec<StandInTarget> = plans
             .iter()
             .map(|plan| StandInTarget::new(&plan.name, timer.clone(), starts.clone()))
             .collect();
-        let (platform, started) = start_platform(store.clone(), targets.clone(), document)?;
-        let Started {
+        let (stand_ins, addrs) = start_stand_ins(store.clone(), targets.clone(), document)?;
+        let StandInAddrs {
             store_addr,
             target_addrs,
-        } = receive(&started)?;
-        let domains = domains(&config, &plans, &options);
-        let mut local = Local {
+        } = receive_addrs(&addrs)?;
+        let domains = domains_by_process(&config, &plans, &options);
+        let mut local = LocalFleet {
             store,
             agents: Vec::new(),
             entries: Vec::new(),
             starts,
             timer,
-            ended: MessageCounts::default(),
+            ended_messages: MessageCounts::default(),
             store_addr,
             options,
             domains: Arc::new(domains),
             log,
-            _platform: platform,
+            _stand_ins: stand_ins,
         };
         for ((plan, target), addr) in plans.iter().zip(targets).zip(target_addrs) {
             local.add_agent(plan, target, addr)?;
@@ -180,26 +178,26 @@
         Ok(())
     }
 
-    /// The processes that run.
+    /// The running processes.
     pub fn hosts(&self) -> impl Iterator<Item = &Host> {
         let agents = self.agents.iter().map(|agent| &agent.host);
-        agents.chain(&self.entries).filter(|host| !host.ended())
+        agents.chain(&self.entries).filter(|host| !host.has_ended())
     }
 
-    /// Messages of all processes, of those that ended too.
+    /// Message counts of all processes, including ended ones.
     pub fn messages(&self) -> MessageCounts {
         let agents = self.agents.iter().map(|agent| &agent.host);
         let running = agents
             .chain(&self.entries)
             .map(|host| host.message_counters.read());
-        running.fold(self.ended, MessageCounts::plus)
+        running.fold(self.ended_messages, MessageCounts::plus)
     }
 
-    /// Starts an agent again whose process has ended.
+    /// Restarts an agent whose process has ended.
     pub fn restart_agent(&mut self, index: usize) -> Result<()> {
         let settings = self.agents[index].settings.clone();
-        self.ended = self
-            .ended
+        self.ended_messages = self
+            .ended_messages
             .plus(self.agents[index].host.message_counters.read());
         self.agents[index].host = self.start_agent(&settings)?;
         Ok(())
@@ -219,14 +217,14 @@
         }
     }
 
-    fn distance(&self, name: &str) -> Arc<dyn LinkDelay> {
+    fn link_delay(&self, name: &str) -> Arc<dyn LinkDelay> {
         if self.options.domain_delay.is_zero() {
             return Arc::new(NoDelay);
         }
-        Arc::new(DomainDistance {
-            own: self.domains.get(name).cloned().unwrap_or_default(),
+        Arc::new(DomainDelay {
+            own_domain: self.domains.get(name).cloned().unwrap_or_default(),
             domains: self.domains.clone(),
-            between: self.options.domain_delay,
+            delay: self.options.domain_delay,
         })
     }
 
@@ -234,7 +232,7 @@
         let name = settings.process.name.clone();
         let settings = settings.clone();
         let (timer, log) = (self.timer.clone(), self.log.clone());
-        let distance = self.distance(&name);
+        let link_delay = self.link_delay(&name);
         let seed = self.options.seed;
         Host::start(&name, move |stop, ready| async move {
             let store: Arc<dyn Store> =
@@ -247,7 +245,7 @@
                 timer,
                 log,
                 metrics: Metrics::none(),
-                distance,
+                link_delay,
                 seed,
             };
             let agent = Agent::bind(parts).await?;
@@ -268,9 +266,11 @@
         Ok(())
     }
 
-    /// Starts an entry again whose process has ended.
+    /// Restarts an entry whose process has ended.
     pub fn restart_entry(&mut self, index: usize) -> Result<()> {
-        self.ended = self.ended.plus(self.entries[index].message_counters.read());
+        self.ended_messages = self
+            .ended_messages
+            .plus(self.entries[index].message_counters.read());
         self.entries[index] = self.start_entry(index)?;
         Ok(())
     }
@@ -287,7 +287,7 @@
             http_listen,
         };
         let (timer, log) = (self.timer.clone(), self.log.clone());
-        let distance = self.distance(&name);
+        let link_delay = self.link_delay(&name);
         Host::start(&name, move |stop, ready| async move {
             let store: Arc<dyn Store> =
                 Arc::new(StoreClient::new(settings.process.store, timer.clone())?);
@@ -297,7 +297,7 @@
                 timer,
                 log,
                 metrics: Metrics::none(),
-                distance,
+                link_delay,
             };
             let entry = Entry::bind(parts).await?;
             let (addr, message_counters) = (entry.http_addr(), entry.message_counters());
@@ -309,7 +309,7 @@
         })
     }
 
-    /// Settings of one more agent.
+    /// Default settings of an agent.
     pub fn agent_settings(&self, name: &str, service: &str) -> AgentSettings {
         AgentSettings {
             process: self.process(name),
@@ -321,8 +321,8 @@
         }
     }
 
-    /// Waits until every entry serves.
-    pub async fn entries_ready(&self) -> Result<()> {
+    /// Waits until every entry is ready.
+    pub async fn wait_for_entries(&self) -> Result<()> {
         for entry in &self.entries {
             let client = EntryClient::new(entry.addr);
             while !is_ready(&client).await {
@@ -332,19 +332,19 @@
         Ok(())
     }
 
-    /// Waits until every entry serves and every agent owns ranges.
-    pub async fn ready(&self) -> Result<()> {
-        self.entries_ready().await?;
+    /// Waits until every entry is ready and every agent owns ranges.
+    pub async fn wait_until_ready(&self) -> Result<()> {
+        self.wait_for_entries().await?;
         for entry in &self.entries {
             let client = EntryClient::new(entry.addr);
-            while !self.all_own(&client).await {
+            while !self.all_agents_own_ranges(&client).await {
                 self.timer.sleep(READY_POLL).await;
             }
         }
         Ok(())
     }
 
-    async fn all_own(&self, client: &EntryClient) -> bool {
+    async fn all_agents_own_ranges(&self, client: &EntryClient) -> bool {
         let path = "/v1/operator/tables/ranges";
         let Ok(ranges) = client.call(Method::GET, path, &[], "").await else {
             return false;
@@ -360,7 +360,7 @@
         owners.len() == self.agents.len()
     }
 
-    /// Stops everything in order.
+    /// Stops the entries gracefully, then kills the agents.
     pub fn stop(mut self) -> Result<()> {
         self.entries.iter().for_each(Host::stop);
         for entry in &mut self.entries {
@@ -386,7 +386,7 @@
     accelerators: u32,
 }
 
-fn plan(config: &Config, options: &LocalOptions) -> Vec<AgentPlan> {
+fn plan_agents(config: &Config, options: &LocalOptions) -> Vec<AgentPlan> {
     let domains = all_domains(config);
     let mut plans = Vec::new();
     for service in &config.services {
@@ -414,7 +414,7 @@
         .collect()
 }
 
-fn domains(
+fn domains_by_process(
     config: &Config,
     plans: &[AgentPlan],
     options: &LocalOptions,
@@ -431,23 +431,23 @@
     format!("entry-{index}")
 }
 
-struct Started {
+struct StandInAddrs {
     store_addr: SocketAddr,
     target_addrs: Vec<SocketAddr>,
 }
 
-fn receive(started: &Receiver<Started>) -> Result<Started> {
-    started
+fn receive_addrs(addrs: &Receiver<StandInAddrs>) -> Result<StandInAddrs> {
+    addrs
         .recv()
         .map_err(|_| Error::Other("the stand-ins did not start".to_string()))
 }
 
-/// Runs the store and the targets on a thread of their own.
-fn start_platform(
+/// Runs the store and the targets in a separate thread.
+fn start_stand_ins(
     store: StandInStore,
     targets: Vec<StandInTarget>,
     document: &str,
-) -> Result<(Platform, Receiver<Started>)> {
+) -> Result<(StandInThread, Receiver<StandInAddrs>)> {
     let (tx, rx) = channel();
     let (end, ended) = oneshot::channel();
     let document = document.to_string();
@@ -458,23 +458,23 @@
                 .enable_all()
                 .build()?;
             let result: Result<()> = runtime.block_on(async {
-                let started = serve_platform(store, targets, &document).await?;
-                let _ = tx.send(started);
+                let addrs = serve_stand_ins(store, targets, &document).await?;
+                let _ = tx.send(addrs);
                 let _ = ended.await;
                 Ok(())
             });
             runtime.shutdown_background();
             result
         })?;
-    let platform = Platform { _end: end };
-    Ok((platform, rx))
+    let stand_ins = StandInThread { _stop: end };
+    Ok((stand_ins, rx))
 }
 
-async fn serve_platform(
+async fn serve_stand_ins(
     store: StandInStore,
     targets: Vec<StandInTarget>,
     document: &str,
-) -> Result<Started> {
+) -> Result<StandInAddrs> {
     let timer = Timer::start();
     let listener = TcpListener::bind("127.0.0.1:0").await?;
     let store_addr = listener.local_addr()?;
@@ -496,7 +496,7 @@
         change_id: "first".to_string(),
     };
     ConfigStore::new(client, timer).propose(&proposal).await?;
-    Ok(Started {
+    Ok(StandInAddrs {
         store_addr,
         target_addrs,
     })
--- a/src/operator.rs
+++ b/src/operator.rs
@@ -1,4 +1,4 @@
-//! What operators do with a fleet, through any of its entries.
+//! Client for operators' calls, through any entry of a fleet.
 
 use std::net::SocketAddr;
 
@@ -10,32 +10,32 @@
 use crate::error::{Error, Result};
 use crate::query::{Row, Select, Statement};
 
-/// A configuration as an entry gives it.
+/// Configuration returned by an entry.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CurrentConfig {
-    /// Its revision; 0 if there is none.
+    /// Revision, or 0 if there is no configuration.
     pub revision: u64,
-    /// The document.
+    /// Document text.
     pub document: String,
 }
 
-/// What a statement gives.
+/// Output of a statement.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
     /// Rows.
     Rows(Vec<Row>),
-    /// One JSON value.
+    /// Single JSON value.
     Value(Value),
 }
 
-/// An operator at an entry.
+/// Sends an operator's calls to an entry.
 pub struct Operator {
     client: EntryClient,
     who: String,
 }
 
 impl Operator {
-    /// The operator `who` at the entry at `addr`.
+    /// Creates a client of the entry at `addr` for the operator `who`.
     pub fn new(addr: SocketAddr, who: &str) -> Operator {
         Operator {
             client: EntryClient::new(addr),
@@ -43,7 +43,7 @@
         }
     }
 
-    /// Carries out a statement.
+    /// Executes a statement.
     pub async fn execute(&self, statement: &Statement) -> Result<Output> {
         match statement {
             Statement::Select(select) => self.select(select).await.map(Output::Rows),
@@ -57,24 +57,28 @@
                 Ok(Output::Value(reply))
             }
             Statement::Cancel(id) => self.cancel(id).await.map(Output::Value),
-            Statement::Drain(target) => self.drain(target, true, "").await.map(revision),
-            Statement::Undrain(target) => self.drain(target, false, "").await.map(revision),
-            Statement::Evacuate(domain) => self.evacuate(domain, true, "").await.map(revision),
-            Statement::Unevacuate(domain) => self.evacuate(domain, false, "").await.map(revision),
+            Statement::Drain(target) => self.drain(target, true, "").await.map(revision_output),
+            Statement::Undrain(target) => self.drain(target, false, "").await.map(revision_output),
+            Statement::Evacuate(domain) => {
+                self.evacuate(domain, true, "").await.map(revision_output)
+            }
+            Statement::Unevacuate(domain) => {
+                self.evacuate(domain, false, "").await.map(revision_output)
+            }
         }
     }
 
-    /// Rows of a table.
+    /// Selects rows of a table.
     pub async fn select(&self, select: &Select) -> Result<Vec<Row>> {
         let rows = self.table(&select.table, "").await?;
         Ok(select.apply(rows))
     }
 
-    /// Steps of a submission, oldest first.
+    /// Returns the steps of a submission, oldest first.
     pub async fn why(&self, id: &str) -> Result<Vec<Row>> {
         let rows = self.table("steps", &format!("?about={id}")).await?;
         match rows.is_empty() {
-            true => Err(Error::Other(format!("no process knows {id}"))),
+            true => Err(Error::Other(format!("no process has a record of {id}"))),
             false => Ok(rows),
         }
     }
@@ -82,7 +86,7 @@
     async fn table(&self, name: &str, query: &str) -> Result<Vec<Row>> {
         let path = format!("/v1/operator/tables/{name}{query}");
         let reply = self.client.call(Method::GET, &path, &[], "").await?;
-        let rows = accepted(&reply)?;
+        let rows = success_body(&reply)?;
         let rows = rows.as_array().cloned().unwrap_or_default();
         let object = |row: Value| match row {
             Value::Object(row) => Some(row),
@@ -103,20 +107,20 @@
             .client
             .call(Method::POST, &path, &headers, payload)
             .await?;
-        accepted(&reply)
+        success_body(&reply)
     }
 
-    /// Submits a job.
+    /// Submits a job; with `waits`, waits for its answer.
     pub async fn submit_job(&self, service: &str, body: &str, waits: bool) -> Result<Value> {
         let path = format!("/v1/services/{service}/jobs?wait={waits}");
         let reply = self
             .client
             .call(Method::POST, &path, &[], body.to_string())
             .await?;
-        accepted(&reply)
+        success_body(&reply)
     }
 
-    /// How a job is.
+    /// Returns the state of a job.
     pub async fn job(&self, id: &str) -> Result<Value> {
         let reply = self
             .client
@@ -133,47 +137,47 @@
             .await?;
         match reply.json() {
             body if body["name"] == ResultCode::Cancelled.name() => Ok(body),
-            _ => accepted(&reply),
+            _ => success_body(&reply),
         }
     }
 
-    /// Drains a target, or ends its drain; gives the new revision.
+    /// Drains a target or ends its drain; returns the new revision.
     pub async fn drain(&self, target: &str, drained: bool, note: &str) -> Result<u64> {
         let verb = if drained { "drain" } else { "undrain" };
         let path = format!("/v1/operator/targets/{target}/{verb}");
-        self.switch(&path, note).await
+        self.post_change(&path, note).await
     }
 
-    /// Evacuates a failure domain, or takes it back; gives the new revision.
+    /// Evacuates a failure domain or ends its evacuation; returns the new revision.
     pub async fn evacuate(&self, domain: &str, evacuated: bool, note: &str) -> Result<u64> {
         let verb = if evacuated { "evacuate" } else { "unevacuate" };
         let path = format!("/v1/operator/domains/{domain}/{verb}");
-        self.switch(&path, note).await
+        self.post_change(&path, note).await
     }
 
-    async fn switch(&self, path: &str, note: &str) -> Result<u64> {
+    async fn post_change(&self, path: &str, note: &str) -> Result<u64> {
         let body = json!({ "who": self.who, "note": note, "change_id": change_id() });
         let reply = self
             .client
             .call(Method::POST, path, &[], body.to_string())
             .await?;
-        changed(&reply)
+        new_revision(&reply)
     }
 
-    /// The configuration in the store.
+    /// Returns the configuration in the store.
     pub async fn config(&self) -> Result<CurrentConfig> {
         let reply = self
             .client
             .call(Method::GET, "/v1/operator/config", &[], "")
             .await?;
-        let body = accepted(&reply)?;
+        let body = success_body(&reply)?;
         Ok(CurrentConfig {
             revision: body["revision"].as_u64().unwrap_or(0),
             document: body["document"].as_str().unwrap_or_default().to_string(),
         })
     }
 
-    /// Replaces the configuration at revision `base`; gives the new revision.
+    /// Replaces the configuration of revision `base`; returns the new revision.
     pub async fn apply(&self, base: u64, document: &str, note: &str) -> Result<u64> {
         let body = json!({
             "base": base,
@@ -187,16 +191,16 @@
             .client
             .call(Method::PUT, path, &[], body.to_string())
             .await?;
-        changed(&reply)
+        new_revision(&reply)
     }
 
-    /// The trail of changes, oldest first.
+    /// Returns the history of changes, oldest first.
     pub async fn history(&self) -> Result<Vec<Row>> {
         self.table("changes", "").await
     }
 }
 
-fn revision(revision: u64) -> Output {
+fn revision_output(revision: u64) -> Output {
     Output::Value(json!({ "revision": revision }))
 }
 
@@ -204,15 +208,15 @@
     uuid::Uuid::now_v7().to_string()
 }
 
-/// The body of a success; a refusal becomes an error.
-fn accepted(reply: &EntryReply) -> Result<Value> {
+/// Returns the body of a success, or the refusal as an error.
+fn success_body(reply: &EntryReply) -> Result<Value> {
     let body = reply.json();
     if reply.status < 300 {
         return Ok(body);
     }
-    let named = |code: &&ResultCode| body["name"] == code.name();
+    let has_name = |code: &&ResultCode| body["name"] == code.name();
     let message = body["message"].as_str().unwrap_or_default().to_string();
-    match ResultCode::ALL.iter().find(named) {
+    match ResultCode::ALL.iter().find(has_name) {
         Some(code) => {
             let effect = body["effect"].as_str().unwrap_or("unknown");
             Err(Error::Refused(*code, format!("{message} ({effect})")))
@@ -221,7 +225,7 @@
     }
 }
 
-fn changed(reply: &EntryReply) -> Result<u64> {
+fn new_revision(reply: &EntryReply) -> Result<u64> {
     let body = reply.json();
     let message = body["message"].as_str().unwrap_or_default().to_string();
     match reply.status {
--- a/src/rpc/codec.rs
+++ b/src/rpc/codec.rs
@@ -1,4 +1,4 @@
-//! MessagePack as a codec of tonic.
+//! tonic codec for MessagePack.
 
 use std::marker::PhantomData;
 
@@ -8,7 +8,7 @@
 use tonic::Status;
 use tonic::codec::{Codec, DecodeBuf, Decoder, EncodeBuf, Encoder};
 
-/// Codec for messages `T` out and `U` in.
+/// Codec that encodes messages `T` and decodes messages `U`.
 #[derive(Debug)]
 pub struct MsgPackCodec<T, U>(PhantomData<(T, U)>);
 
@@ -37,7 +37,7 @@
     }
 }
 
-/// Writes messages.
+/// Encoder of messages.
 #[derive(Debug)]
 pub struct MsgPackEncoder<T>(PhantomData<T>);
 
@@ -52,7 +52,7 @@
     }
 }
 
-/// Reads messages.
+/// Decoder of messages.
 #[derive(Debug)]
 pub struct MsgPackDecoder<U>(PhantomData<U>);
 
--- a/src/standin/mod.rs
+++ b/src/standin/mod.rs
@@ -1,7 +1,6 @@
-//! Small stand-ins for what the platform gives: a store and targets.
+//! Stand-ins for the platform: a store and targets with injectable faults.
 //!
-//! They serve `winghold local`, the bench and the tests. Each has switches for
-//! the faults that the real thing is known for.
+//! `winghold local`, the bench and the tests run them.
 
 pub mod store;
 pub mod target;
--- a/src/standin/store.rs
+++ b/src/standin/store.rs
@@ -1,4 +1,4 @@
-//! A store in memory: compare-and-swap, leases, watches, and its faults.
+//! In-memory store with compare-and-swap, leases, watches and injectable faults.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -18,37 +18,37 @@
 use crate::store::{Expect, LeaseId, StoreEntry, StoreReply, StoreRequest};
 use crate::time::{Moment, Timer};
 
-/// How the store misbehaves.
+/// Faults of the store.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct StoreFaults {
-    /// Answers nothing and does nothing.
+    /// Fails every call and has no effect.
     pub down: bool,
     /// Delay of every call in milliseconds.
     pub slow_ms: u64,
-    /// Share of writes, in percent, that take effect and are not answered.
+    /// Percentage of writes that take effect but get no answer.
     pub lose_answers_percent: u32,
 }
 
-/// Calls since the start.
+/// Counts of calls since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StoreCalls {
     /// Writes, leases included.
     pub writes: u64,
     /// Reads.
     pub reads: u64,
-    /// Watches that were begun.
+    /// Started watches.
     pub watches: u64,
-    /// Calls over the rate.
+    /// Calls rejected by the rate limit.
     pub limited: u64,
-    /// Most writes within one second.
+    /// Maximum number of writes within one second.
     pub peak_writes: u64,
-    /// Most reads and watches within one second.
+    /// Maximum number of reads and watches within one second.
     pub peak_reads: u64,
 }
 
 impl StoreCalls {
-    /// What came since `before`; the peaks stay.
+    /// Difference from the earlier counts `before`; the peaks are not reduced.
     pub fn since(self, before: StoreCalls) -> StoreCalls {
         StoreCalls {
             writes: self.writes - before.writes,
@@ -60,12 +60,12 @@
     }
 }
 
-/// What the platform promises.
+/// Rate limits of the store.
 #[derive(Clone, Copy, Debug)]
 pub struct StoreRates {
-    /// Writes a second.
+    /// Writes per second.
     pub writes: u64,
-    /// Reads a second; a waiting watch counts as one.
+    /// Reads per second; a watch counts as one read.
     pub reads: u64,
 }
 
@@ -79,20 +79,20 @@
 }
 
 #[derive(Debug)]
-struct Value {
+struct StoredValue {
     value: Bytes,
     revision: u64,
     lease: Option<LeaseId>,
 }
 
 #[derive(Debug)]
-struct Leased {
+struct LeaseState {
     ttl_us: u64,
     until_us: u64,
 }
 
 #[derive(Debug, Default)]
-struct Second {
+struct SecondCounts {
     number: u64,
     writes: u64,
     reads: u64,
@@ -100,23 +100,23 @@
 
 #[derive(Debug, Default)]
 struct State {
+    /// Revision of the latest change of any key.
     revision: u64,
-    /// Revision of the latest change under any key.
-    keys: BTreeMap<String, Value>,
-    leases: BTreeMap<LeaseId, Leased>,
-    granted: u64,
+    keys: BTreeMap<String, StoredValue>,
+    leases: BTreeMap<LeaseId, LeaseState>,
+    last_lease: u64,
     faults: StoreFaults,
     calls: StoreCalls,
-    second: Second,
-    drawn: u32,
+    current_second: SecondCounts,
+    loss_counter: u32,
 }
 
 impl State {
     fn expire(&mut self, now: Moment) -> bool {
-        let over = |leased: &Leased| leased.until_us <= now.mono_us;
+        let has_expired = |lease: &LeaseState| lease.until_us <= now.mono_us;
         let leases = self.leases.iter();
         let ended: Vec<LeaseId> = leases
-            .filter(|(_, leased)| over(leased))
+            .filter(|(_, lease)| has_expired(lease))
             .map(|(id, _)| *id)
             .collect();
         let before = self.revision;
@@ -150,11 +150,11 @@
     fn put(&mut self, put: Put) -> StoreReply {
         let current = self.keys.get(&put.key);
         let found = current.map(|value| value.revision);
-        let wanted = match put.expect {
+        let expected = match put.expect {
             Expect::Absent => None,
             Expect::Revision(revision) => Some(revision),
         };
-        if found != wanted {
+        if found != expected {
             let current = current.map(|value| value.entry(&put.key));
             return StoreReply::Conflict { current };
         }
@@ -166,7 +166,7 @@
         }
         self.revision += 1;
         let revision = self.revision;
-        let value = Value {
+        let value = StoredValue {
             value: put.value,
             revision,
             lease: put.lease,
@@ -176,11 +176,11 @@
     }
 
     fn grant(&mut self, now: Moment, ttl_ms: u64) -> StoreReply {
-        self.granted += 1;
-        let lease = LeaseId(self.granted);
+        self.last_lease += 1;
+        let lease = LeaseId(self.last_lease);
         let ttl_us = ttl_ms * 1_000;
         let until_us = now.mono_us + ttl_us;
-        self.leases.insert(lease, Leased { ttl_us, until_us });
+        self.leases.insert(lease, LeaseState { ttl_us, until_us });
         StoreReply::Lease { lease }
     }
 
@@ -194,30 +194,30 @@
         }
     }
 
-    fn admits(&mut self, now: Moment, rates: StoreRates, write: bool) -> bool {
+    fn admit(&mut self, now: Moment, rates: StoreRates, write: bool) -> bool {
         let number = now.mono_us / 1_000_000;
-        if number != self.second.number {
-            self.second = Second {
+        if number != self.current_second.number {
+            self.current_second = SecondCounts {
                 number,
-                ..Second::default()
+                ..SecondCounts::default()
             };
         }
         let (count, rate) = match write {
-            true => (&mut self.second.writes, rates.writes),
-            false => (&mut self.second.reads, rates.reads),
+            true => (&mut self.current_second.writes, rates.writes),
+            false => (&mut self.current_second.reads, rates.reads),
         };
         *count += 1;
         let admitted = *count <= rate;
-        self.calls.peak_writes = self.calls.peak_writes.max(self.second.writes);
-        self.calls.peak_reads = self.calls.peak_reads.max(self.second.reads);
+        self.calls.peak_writes = self.calls.peak_writes.max(self.current_second.writes);
+        self.calls.peak_reads = self.calls.peak_reads.max(self.current_second.reads);
         admitted
     }
 
-    /// Whether the answer of this write is lost; every hundred draws lose as
-    /// many as the percentage says.
-    fn loses_answer(&mut self) -> bool {
-        self.drawn = (self.drawn + 37) % 100;
-        self.drawn < self.faults.lose_answers_percent
+    /// Decides whether the answer to a write is lost. Of every 100 writes, exactly the
+    /// configured percentage loses its answer.
+    fn should_lose_answer(&mut self) -> bool {
+        self.loss_counter = (self.loss_counter + 37) % 100;
+        self.loss_counter < self.faults.lose_answers_percent
     }
 }
 
@@ -228,7 +228,7 @@
     lease: Option<LeaseId>,
 }
 
-impl Value {
+impl StoredValue {
     fn entry(&self, key: &str) -> StoreEntry {
         StoreEntry {
             key: key.to_string(),
@@ -246,14 +246,14 @@
     changed: watch::Sender<u64>,
 }
 
-/// A store in memory that several processes can call.
+/// In-memory store that several processes can call over gRPC.
 #[derive(Clone)]
 pub struct StandInStore {
     shared: Arc<Shared>,
 }
 
 impl StandInStore {
-    /// An empty store.
+    /// Creates an empty store.
     pub fn new(timer: Timer, rates: StoreRates) -> StandInStore {
         let shared = Shared {
             timer,
@@ -273,32 +273,32 @@
             .unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Changes how the store misbehaves.
+    /// Sets the faults.
     pub fn set_faults(&self, faults: StoreFaults) {
         self.state().faults = faults;
         self.shared.changed.send_modify(|count| *count += 1);
     }
 
-    /// How the store misbehaves now.
+    /// Current faults.
     pub fn faults(&self) -> StoreFaults {
         self.state().faults.clone()
     }
 
-    /// Calls since the start.
+    /// Counts of calls since the start.
     pub fn calls(&self) -> StoreCalls {
         self.state().calls
     }
 
     /// Serves on `listener` until `stop`.
     pub async fn serve(self, listener: TcpListener, stop: impl Future<Output = ()>) -> Result<()> {
-        let expiry = self.clone();
-        let expiring = tokio::spawn(async move { expiry.expire_leases().await });
+        let store = self.clone();
+        let expiry_task = tokio::spawn(async move { store.expire_leases().await });
         let incoming = TcpIncoming::from(listener).with_nodelay(Some(true));
         let served = Server::builder()
             .add_service(KeyValueServer::new(self))
             .serve_with_incoming_shutdown(incoming, stop)
             .await;
-        expiring.abort();
+        expiry_task.abort();
         served.map_err(|err| Error::Other(err.to_string()))
     }
 
@@ -313,10 +313,10 @@
     }
 
     async fn answer(&self, req: StoreRequest) -> std::result::Result<StoreReply, Status> {
-        let lost = || Status::unavailable("no answer");
+        let no_answer = || Status::unavailable("no answer");
         let faults = self.state().faults.clone();
         if faults.down {
-            return Err(lost());
+            return Err(no_answer());
         }
         self.shared
             .timer
@@ -327,8 +327,8 @@
             return Ok(StoreReply::RateLimited);
         }
         let reply = self.apply(req).await?;
-        if write && self.state().loses_answer() {
-            return Err(lost());
+        if write && self.state().should_lose_answer() {
+            return Err(no_answer());
         }
         Ok(reply)
     }
@@ -342,7 +342,7 @@
             _ if write => calls.writes += 1,
             _ => calls.reads += 1,
         }
-        let admitted = state.admits(now, self.shared.rates, write);
+        let admitted = state.admit(now, self.shared.rates, write);
         if !admitted {
             state.calls.limited += 1;
         }
--- a/src/standin/target.rs
+++ b/src/standin/target.rs
@@ -1,9 +1,7 @@
-//! A target: runs tasks by sleeping, echoes what it got, and keeps the history
-//! of every start, which is the truth that the checker goes by.
+//! Target that simulates tasks by sleeping and records every start for the checker.
 //!
-//! The payload may be a JSON object with `run_ms`, the time to run, and `fail`,
-//! to answer with a failure. The answer is a JSON object with the payload under
-//! `echo`.
+//! The payload may be a JSON object with the run time `run_ms`, and with `fail` to answer
+//! with a failure. The answer is a JSON object that contains the payload as `echo`.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -24,15 +22,15 @@
 use crate::time::Timer;
 use crate::worker::{LEASE_HEADER, STOPPED_STATUS, Usage};
 
-/// How a target misbehaves.
+/// Faults of a target.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct TargetFaults {
-    /// Answers every task with a failure, at once.
+    /// Immediately answers every task with a failure.
     pub fails_everything: bool,
-    /// Run times are multiplied by it.
+    /// Factor on run times.
     pub slowdown: f64,
-    /// Takes no connection and drops those it has.
+    /// Accepts no connections and closes the open ones.
     pub dead: bool,
 }
 
@@ -53,13 +51,13 @@
     pub task: String,
     /// Name of the target.
     pub target: String,
-    /// When, in the bench's monotonic microseconds.
+    /// Time of the start on the monotonic clock of the fleet.
     pub at_us: u64,
-    /// Whether it ran to its end.
+    /// Whether the run finished.
     pub finished: bool,
 }
 
-/// History of all targets of a run.
+/// Log of the starts at all targets.
 #[derive(Debug, Default)]
 pub struct StartLog {
     records: Mutex<Vec<StartRecord>>,
@@ -70,17 +68,17 @@
         self.records.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn started(&self, record: StartRecord) -> usize {
+    fn record_start(&self, record: StartRecord) -> usize {
         let mut records = self.records();
         records.push(record);
         records.len() - 1
     }
 
-    fn finished(&self, index: usize) {
+    fn mark_finished(&self, index: usize) {
         self.records()[index].finished = true;
     }
 
-    /// Everything so far.
+    /// Returns all records.
     pub fn all(&self) -> Vec<StartRecord> {
         self.records().clone()
     }
@@ -99,7 +97,7 @@
     faults: TargetFaults,
     running: HashMap<String, RunningTask>,
     finished: u64,
-    most_running: usize,
+    max_running: usize,
     reported: Usage,
     reported_us: u64,
 }
@@ -109,10 +107,10 @@
     timer: Timer,
     log: Arc<StartLog>,
     state: Mutex<State>,
-    died: watch::Sender<bool>,
+    dead: watch::Sender<bool>,
 }
 
-/// A target that can be told to misbehave.
+/// Target with injectable faults.
 #[derive(Clone)]
 pub struct StandInTarget {
     shared: Arc<Shared>,
@@ -120,23 +118,23 @@
 
 #[derive(Debug, Default, Deserialize)]
 #[serde(default)]
-struct Instructions {
+struct TaskPayload {
     run_ms: f64,
     fail: bool,
 }
 
-/// How old a usage report may get.
-const USAGE_LAG: Duration = Duration::from_millis(1_000);
+/// Maximum age of a usage report.
+const USAGE_REPORT_INTERVAL: Duration = Duration::from_millis(1_000);
 
 impl StandInTarget {
-    /// A target that notes its starts in `log`.
+    /// Creates a target that records its starts in `log`.
     pub fn new(name: &str, timer: Timer, log: Arc<StartLog>) -> StandInTarget {
         let shared = Shared {
             name: name.to_string(),
             timer,
             log,
             state: Mutex::default(),
-            died: watch::channel(false).0,
+            dead: watch::channel(false).0,
         };
         StandInTarget {
             shared: Arc::new(shared),
@@ -150,23 +148,22 @@
             .unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Changes how it misbehaves.
+    /// Sets the faults.
     pub fn set_faults(&self, faults: TargetFaults) {
-        self.shared.died.send_replace(faults.dead);
+        self.shared.dead.send_replace(faults.dead);
         self.state().faults = faults;
     }
 
-    /// Most tasks that ran at once.
-    pub fn most_running(&self) -> usize {
-        self.state().most_running
+    /// Maximum number of tasks that ran concurrently.
+    pub fn max_running(&self) -> usize {
+        self.state().max_running
     }
 
-    /// Serves on a listener for as long as it is polled; while it is dead,
-    /// nothing listens.
+    /// Serves on `listener`, which is closed while the target is dead.
     pub async fn serve(self, listener: TcpListener) -> Result<()> {
         let addr = listener.local_addr()?;
         let mut listener = Some(listener);
-        let mut died = self.shared.died.subscribe();
+        let mut dead = self.shared.dead.subscribe();
         loop {
             let open = match listener.take() {
                 Some(open) => open,
@@ -174,10 +171,10 @@
             };
             tokio::select! {
                 served = self.accept(&open) => return served,
-                _ = died.wait_for(|dead| *dead) => {}
+                _ = dead.wait_for(|dead| *dead) => {}
             }
             drop(open);
-            let _ = died.wait_for(|dead| !*dead).await;
+            let _ = dead.wait_for(|dead| !*dead).await;
         }
     }
 
@@ -191,12 +188,12 @@
 
     async fn serve_connection(&self, stream: TcpStream) {
         let _ = stream.set_nodelay(true);
-        let mut died = self.shared.died.subscribe();
+        let mut dead = self.shared.dead.subscribe();
         let service = service_fn(|req| self.answer(req));
         let connection = http1::Builder::new().serve_connection(TokioIo::new(stream), service);
         tokio::select! {
             _ = connection => {}
-            _ = died.wait_for(|dead| *dead) => {}
+            _ = dead.wait_for(|dead| *dead) => {}
         }
     }
 
@@ -232,29 +229,29 @@
             .and_then(|value| value.to_str().ok());
         let lease_ms: u64 = lease.and_then(|text| text.parse().ok()).unwrap_or(5_000);
         let payload = req.into_body().collect().await?.to_bytes();
-        let instructions: Instructions = serde_json::from_slice(&payload).unwrap_or_default();
-        let record = self.record(task);
+        let task_payload: TaskPayload = serde_json::from_slice(&payload).unwrap_or_default();
+        let record = self.record_start(task);
         let faults = self.state().faults.clone();
-        let stop = self.begin(task, lease_ms);
+        let stop = self.begin_run(task, lease_ms);
         let run_ms = match faults.fails_everything {
             true => 0.0,
-            false => instructions.run_ms * faults.slowdown,
+            false => task_payload.run_ms * faults.slowdown,
         };
-        let stopped = self.work(task, run_ms, stop).await;
-        self.end(task);
+        let stopped = self.simulate_run(task, run_ms, stop).await;
+        self.end_run(task);
         if stopped {
             return Ok(respond(STOPPED_STATUS, Bytes::from_static(b"stopped")));
         }
-        self.shared.log.finished(record);
-        if faults.fails_everything || instructions.fail {
+        self.shared.log.mark_finished(record);
+        if faults.fails_everything || task_payload.fail {
             let text = Bytes::from_static(b"told to fail");
             return Ok(respond(StatusCode::INTERNAL_SERVER_ERROR, text));
         }
         Ok(respond(StatusCode::OK, self.echo(task, &payload)))
     }
 
-    fn record(&self, task: &str) -> usize {
-        self.shared.log.started(StartRecord {
+    fn record_start(&self, task: &str) -> usize {
+        self.shared.log.record_start(StartRecord {
             task: task.to_string(),
             target: self.shared.name.clone(),
             at_us: self.shared.timer.now().mono_us,
@@ -262,7 +259,7 @@
         })
     }
 
-    fn begin(&self, task: &str, lease_ms: u64) -> watch::Receiver<bool> {
+    fn begin_run(&self, task: &str, lease_ms: u64) -> watch::Receiver<bool> {
         let (stop, stopped) = watch::channel(false);
         let lease_us = lease_ms * 1_000;
         let running = RunningTask {
@@ -273,16 +270,16 @@
         };
         let mut state = self.state();
         state.running.insert(task.to_string(), running);
-        state.most_running = state.most_running.max(state.running.len());
+        state.max_running = state.max_running.max(state.running.len());
         stopped
     }
 
-    /// Works for `run_ms`; `true` if it was stopped or its lease ran out.
-    async fn work(&self, task: &str, run_ms: f64, mut stop: watch::Receiver<bool>) -> bool {
-        let mut left = Duration::from_secs_f64(run_ms.max(0.0) / 1_000.0);
+    /// Waits for `run_ms`; returns `true` if the task was stopped or its lease expired.
+    async fn simulate_run(&self, task: &str, run_ms: f64, mut stop: watch::Receiver<bool>) -> bool {
+        let mut remaining = Duration::from_secs_f64(run_ms.max(0.0) / 1_000.0);
         let step = Duration::from_secs(1);
-        while !left.is_zero() {
-            let slice = left.min(step);
+        while !remaining.is_zero() {
+            let slice = remaining.min(step);
             tokio::select! {
                 () = self.shared.timer.sleep(slice) => {}
                 _ = stop.wait_for(|stop| *stop) => return true,
@@ -294,12 +291,12 @@
             if running.lease_until_us < self.shared.timer.now().mono_us {
                 return true;
             }
-            left -= if running.throttled { slice / 2 } else { slice };
+            remaining -= if running.throttled { slice / 2 } else { slice };
         }
         false
     }
 
-    fn end(&self, task: &str) {
+    fn end_run(&self, task: &str) {
         let mut state = self.state();
         state.running.remove(task);
         state.finished += 1;
@@ -321,11 +318,11 @@
         }
     }
 
-    /// The latest report; it lags behind what is true.
+    /// Returns the latest usage report, which may be out of date.
     fn usage(&self) -> Response<Full<Bytes>> {
         let now_us = self.shared.timer.now().mono_us;
         let mut state = self.state();
-        if now_us >= state.reported_us + USAGE_LAG.as_micros() as u64 {
+        if now_us >= state.reported_us + USAGE_REPORT_INTERVAL.as_micros() as u64 {
             state.reported_us = now_us;
             state.reported = Usage {
                 running: state.running.len() as u32,
--- a/tests/request_path.rs
+++ b/tests/request_path.rs
@@ -3,19 +3,19 @@
 use http::Method;
 use winghold::client::EntryClient;
 use winghold::error::Result;
-use winghold::local::{Local, LocalOptions};
+use winghold::local::{LocalFleet, LocalOptions};
 use winghold::logging;
 
 const CONFIG: &str = include_str!("../examples/logger-intake.yaml");
 const REQUESTS: &str = "/v1/services/logger-intake/requests";
 const JOBS: &str = "/v1/services/logger-intake/jobs";
 
-fn fleet() -> Local {
+fn fleet() -> LocalFleet {
     let options = LocalOptions {
         targets: 3,
         ..LocalOptions::default()
     };
-    Local::start(CONFIG, options, logging::discard()).expect("the fleet starts")
+    LocalFleet::start(CONFIG, options, logging::discard()).expect("the fleet starts")
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -23,7 +23,7 @@
     let fleet = tokio::task::spawn_blocking(fleet)
         .await
         .expect("the fleet starts");
-    fleet.ready().await?;
+    fleet.wait_until_ready().await?;
     let first = EntryClient::new(fleet.entries[0].addr);
     let reply = first
         .call(Method::POST, REQUESTS, &[], r#"{"run_ms":5,"n":7}"#)
@@ -45,7 +45,7 @@
     let fleet = tokio::task::spawn_blocking(fleet)
         .await
         .expect("the fleet starts");
-    fleet.ready().await?;
+    fleet.wait_until_ready().await?;
     let clients = [0, 1].map(|index| EntryClient::new(fleet.entries[index].addr));
     let id = uuid::Uuid::now_v7().to_string();
     let headers = [("idempotency-key", id.as_str())];
