--- a/src/ephemeral/agent.rs
+++ b/src/ephemeral/agent.rs
@@ -51,7 +51,7 @@
     Report(Box<WorkerReport>),
     WorkerLeft(WorkerId),
     Restored(Box<PublishedState>),
-    /// Names the worker incarnation that was called, as does `Stopped`.
+    /// Answer to a start; the id, as in `Stopped`, is of the worker incarnation that was called.
     Started(WorkerId, RunId, Result<StartAnswer, WorkerCallError>),
     Stopped(WorkerId, RunId, Result<(), WorkerCallError>),
     Held(Moment, PollCall, Result<PollReply, WorkerCallError>),
@@ -61,14 +61,14 @@
     Leave,
 }
 
-/// Handle for the side of an agent that receives the worker's reports.
+/// Passes worker reports and other external events to an agent.
 #[derive(Clone)]
 pub struct AgentHandle {
     events: UnboundedSender<Event>,
 }
 
 impl AgentHandle {
-    /// Passes on a report of the worker.
+    /// Passes a report of the worker to the gate.
     pub fn report(&self, report: WorkerReport) {
         let _ = self.events.send(Event::Report(Box::new(report)));
     }
@@ -88,7 +88,7 @@
         self.events.send(Event::Evacuated(evacuated)).is_ok()
     }
 
-    /// Stops taking work; the agent ends once its runs are over.
+    /// Stops accepting work; the agent ends once all its runs have ended.
     pub fn leave(&self) {
         let _ = self.events.send(Event::Leave);
     }
@@ -133,7 +133,7 @@
         (agent, AgentHandle { events: tx })
     }
 
-    /// Runs until the agent was asked to leave and all runs are over.
+    /// Runs until [`AgentHandle::leave`] is called and all runs have ended.
     pub async fn run(mut self) {
         let mut suspension = Suspension::new(self.parts.timer.now());
         loop {
--- a/src/ephemeral/backoff.rs
+++ b/src/ephemeral/backoff.rs
@@ -32,7 +32,7 @@
 }
 
 impl Backoff {
-    /// Pause after the next attempt.
+    /// Current pause between two attempts.
     pub fn pause(&self) -> Duration {
         self.pause
     }
--- a/src/ephemeral/directory/follow.rs
+++ b/src/ephemeral/directory/follow.rs
@@ -15,12 +15,13 @@
 
 /// Longest wait of a watch for a change; bounds the delay if the store stops answering.
 const WATCH_TIMEOUT: Duration = Duration::from_secs(5);
-/// Gates with which an entry can accept work before it has read all records.
+/// Number of gates that suffice to accept work before all records have been read.
 const MIN_INITIAL_GATES: usize = 16;
 /// Number of shards of the records.
 const SHARDS: usize = 256;
-/// Largest number of shards that an entry reads first, and how many at a time.
+/// Largest number of shards that are read before the full read.
 const MAX_INITIAL_SHARDS: usize = 16;
+/// Number of initial shards that are read at a time.
 const CONCURRENT_SHARD_READS: usize = 4;
 /// Delay of the full read per gate, which spreads the reads of entries that start together.
 const FULL_READ_DELAY_PER_GATE: Duration = Duration::from_millis(2);
@@ -34,8 +35,7 @@
     gate: Option<Arc<str>>,
 }
 
-/// Decodes each revision of a record once, and skips invalid records, which other writers may
-/// have left.
+/// Decodes each revision of a record once, and skips invalid records.
 struct RecordReader {
     seen: BTreeMap<String, SeenRecord>,
     log: Logger,
@@ -79,7 +79,7 @@
                 Some(gate)
             }
             Err(err) => {
-                warn!(self.log, "record of a gate not usable"; "key" => &entry.key,
+                warn!(self.log, "invalid gate record"; "key" => &entry.key,
                     "revision" => entry.revision, "error" => %err);
                 self.removed(&entry.key, changes);
                 None
@@ -124,8 +124,8 @@
         self.gates.written.len() < self.shards
     }
 
-    /// Longest delay of the full read; grows with the fleet, so that the load of a simultaneous
-    /// start on the store stays bounded.
+    /// Longest delay of the full read; grows with the fleet, so that entries that start together
+    /// do not overload the store.
     fn max_full_read_delay(&self) -> Duration {
         if !self.is_enough() {
             return Duration::ZERO;
@@ -135,7 +135,7 @@
     }
 }
 
-/// Reads enough records to accept work before the full read.
+/// Reads shards until there are enough records to accept work, or the fleet proves small.
 async fn read_initial(
     follower: &Follower,
     name: &str,
--- a/src/ephemeral/directory/mod.rs
+++ b/src/ephemeral/directory/mod.rs
@@ -36,11 +36,10 @@
     pub gate: Arc<str>,
     /// Address for entries.
     pub addr: SocketAddr,
-    /// Its worker, so that a restarted gate need not wait for the next heartbeat.
+    /// Its worker, so that a restarted gate need not wait for the worker's next heartbeat.
     #[serde(default)]
     pub worker: Option<WorkerRecord>,
-    /// Tasks under which its workers were lost, for a restarted gate and for entries without a
-    /// session.
+    /// Losses of its workers by task, for a restarted gate and for entries without a session.
     #[serde(default)]
     pub losses: Vec<WorkerLoss>,
 }
@@ -50,7 +49,7 @@
 pub struct PublishedState {
     /// Its worker.
     pub worker: Option<WorkerRecord>,
-    /// Losses of its workers.
+    /// Losses of its workers, by task.
     pub losses: Vec<WorkerLoss>,
 }
 
@@ -59,7 +58,7 @@
 pub struct WorkerRecord {
     /// Properties of the worker.
     pub traits: WorkerTraits,
-    /// Address for orders.
+    /// Address to which orders to start and stop runs are sent.
     pub addr: String,
 }
 
@@ -70,7 +69,7 @@
 }
 
 /// Key of a gate's record. Records are sharded by two hex digits of a hash of the name, so that
-/// entries can read a part of them.
+/// an entry can read only some of them.
 pub fn gate_key(name: &str) -> String {
     let shard = xxh3_64(name.as_bytes()) as u8;
     format!("{}{name}", shard_prefix(shard))
@@ -84,11 +83,11 @@
     serde_json::to_vec(record).map_or_else(|_| Bytes::new(), Bytes::from)
 }
 
-/// Why an entry is not a valid gate record.
+/// Why an entry of the store is not a valid gate record.
 #[derive(Debug)]
 enum RecordError {
     Unreadable(serde_json::Error),
-    /// The record names a gate that belongs to another key.
+    /// The record of the gate that it names has another key.
     KeyMismatch,
 }
 
@@ -96,7 +95,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             RecordError::Unreadable(err) => err.fmt(f),
-            RecordError::KeyMismatch => f.write_str("record names another gate than its key"),
+            RecordError::KeyMismatch => f.write_str("record and its key name different gates"),
         }
     }
 }
@@ -117,7 +116,7 @@
     pub written: Vec<GateRecord>,
     /// Gates whose record was removed.
     pub removed: Vec<Arc<str>>,
-    /// Whether other records may not have been read yet.
+    /// Whether only some of the records have been read so far.
     pub partial: bool,
 }
 
--- a/src/ephemeral/directory/publish.rs
+++ b/src/ephemeral/directory/publish.rs
@@ -24,9 +24,8 @@
 /// Longest such pause; shorter than [`super::MISSING_RECORD_GRACE`].
 const MAX_RETRY_PAUSE: Duration = Duration::from_millis(1_600);
 
-/// Publishes the record of a gate in the store until the future is dropped. A record from
-/// `previous`, before a restart, is taken over with its lease, without a write that would wake
-/// all entries.
+/// Publishes the record of a gate in the store until the future is dropped. `previous` is the
+/// record from before a restart; it is reused with its lease, as a write would notify all entries.
 pub async fn publish(
     store: Arc<dyn Store>,
     timer: Timer,
@@ -63,7 +62,7 @@
     }
 }
 
-/// State in the gate's record from before a restart, and the record itself.
+/// Reads the gate's record from before a restart; returns its state and the store entry.
 pub async fn read_previous(
     store: &dyn Store,
     name: &str,
@@ -75,7 +74,7 @@
     });
     let entry = entry.ok()??;
     let record = decode(&entry).inspect_err(|err| {
-        warn!(log, "cannot read previous gate record"; "key" => &key, "error" => %err);
+        warn!(log, "invalid previous gate record"; "key" => &key, "error" => %err);
     });
     let record = record.ok()?;
     let published = PublishedState {
@@ -97,8 +96,8 @@
 
 impl Publisher<'_> {
     /// Renews the lease, and writes the record if it is missing or differs. An unchanged record is
-    /// read only after a failed call, a new lease or [`RENEWALS_PER_READ`] renewals, as it exists
-    /// while its lease does.
+    /// read only after a failed call, a new lease or [`RENEWALS_PER_READ`] renewals, as the store
+    /// keeps it as long as its lease.
     async fn refresh(&mut self, record: &GateRecord) -> Result<(), StoreError> {
         let refreshed = self.renew_or_write(record).await;
         if refreshed.is_err() {
--- a/src/ephemeral/entry/dials.rs
+++ b/src/ephemeral/entry/dials.rs
@@ -28,10 +28,10 @@
 struct DialState {
     addr: SocketAddr,
     session: Option<SessionId>,
-    /// Whether the connection may have failed, so that a second one is wanted.
+    /// Whether the connection may have failed, so that a second one should be opened.
     suspect: bool,
     pending: bool,
-    /// Its pause is also the timeout of the next attempt.
+    /// Pause between the starts of two attempts; also the timeout of each.
     backoff: Backoff,
     /// Earliest time of the next attempt, in monotonic microseconds.
     next_us: u64,
@@ -89,7 +89,7 @@
             let dial = dial.or_insert_with(|| DialState::new(record.addr));
             dial.missing_since_us = None;
             if dial.addr != record.addr {
-                // The backoff counts for the old address only.
+                // The backoff applies to the old address only.
                 dial.addr = record.addr;
                 dial.backoff = Backoff::default();
                 dial.next_us = now.mono_us;
@@ -97,7 +97,8 @@
         }
     }
 
-    /// Starts the attempts that are due at wanted gates; removes gates that are gone.
+    /// Begins and returns the attempts that are due, to gates for which `is_wanted` is true;
+    /// removes gates whose record has been missing for too long.
     pub fn due_attempts(
         &mut self,
         now: Moment,
--- a/src/ephemeral/entry/handle.rs
+++ b/src/ephemeral/entry/handle.rs
@@ -17,8 +17,8 @@
 use crate::metrics::Metrics;
 use crate::time::{Timer, micros};
 
-/// Longest wait of a caller for the first configuration; short, so that a refusal still arrives
-/// well within the job's objective.
+/// Longest wait of a request for the first configuration; short enough to reject the job within
+/// its latency objective.
 const FIRST_CONFIG_TIMEOUT: Duration = Duration::from_millis(35);
 
 /// A submitted job on its way to the dispatcher.
@@ -82,8 +82,8 @@
     /// The configuration in force; waits at most [`FIRST_CONFIG_TIMEOUT`] for the first one.
     pub async fn wait_for_table(&self) -> Arc<RouteTable> {
         let mut table = self.table.clone();
-        let known = table.wait_for(|table| table.version > 0);
-        match self.timer.within(FIRST_CONFIG_TIMEOUT, known).await {
+        let first = table.wait_for(|table| table.version > 0);
+        match self.timer.within(FIRST_CONFIG_TIMEOUT, first).await {
             Some(Ok(table)) => table.clone(),
             // Timed out, or the entry has ended.
             _ => self.table(),
@@ -106,7 +106,7 @@
         let _ = self.events.send(Event::Leave);
     }
 
-    /// Runs a job; dropping the future counts as a disconnected caller.
+    /// Runs a job. Dropping the future counts as a disconnect of the caller.
     pub async fn submit(&self, spec: JobSpec, route: Arc<Route>, wait: Duration) -> Answer {
         let number = self.waiters.fetch_add(1, Ordering::Relaxed);
         let (reply, answer) = oneshot::channel();
--- a/src/ephemeral/entry/mod.rs
+++ b/src/ephemeral/entry/mod.rs
@@ -32,6 +32,7 @@
 
 /// Interval of the dispatcher's ticks.
 const TICK_INTERVAL: Duration = Duration::from_millis(10);
+
 /// Parses configuration documents.
 pub trait ConfigReader: Send + Sync {
     /// Parses a document into its routes.
@@ -82,7 +83,7 @@
     suspension: Suspension,
     metrics_reported_us: u64,
     last_turn_us: u64,
-    /// Largest delay of a loop turn since the last report.
+    /// Largest delay of an event loop iteration since the last report.
     max_turn_delay: Duration,
 }
 
@@ -286,7 +287,7 @@
         }
         match self.parts.reader.read(&document.text).and_then(validate) {
             Ok(table) => {
-                info!(self.parts.log, "configuration in force"; "version" => table.version,
+                info!(self.parts.log, "configuration applied"; "version" => table.version,
                     "before" => before, "routes" => table.routes.len(), "from" => from);
                 self.parts.metrics.gauge("config_version", table.version);
                 self.parts
@@ -351,7 +352,7 @@
     }
 }
 
-/// Returns the table, unless its scheduling features conflict.
+/// Returns the table, or an error if its scheduling features conflict.
 fn validate(table: RouteTable) -> Result<RouteTable> {
     let errors = table.scheduling.faults();
     match errors.is_empty() {
--- a/src/ephemeral/evacuations.rs
+++ b/src/ephemeral/evacuations.rs
@@ -1,8 +1,8 @@
 //! Failure domains that operators have evacuated: no runs are started there.
 //!
 //! Each gate reads the operators' keys and refuses starts itself, independently of the entries.
-//! Entries learn from the gates' loads which of them take no work. A gate that cannot reach the
-//! store keeps the last known state.
+//! The load that a gate sends to entries contains this state. A gate that cannot reach the store
+//! keeps the last known state.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -24,8 +24,8 @@
     pub max_wait: Duration,
 }
 
-/// Follows the keys and passes to `on_change` whether the own failure domain is evacuated,
-/// first and at each change, until it returns `false`.
+/// Follows the keys and passes to `on_change` whether the failure domain of this process is
+/// evacuated, first and at each change of the keys, until `on_change` returns `false`.
 pub async fn follow(follower: Follower, keys: EvacuationKeys, on_change: impl Fn(bool) -> bool) {
     let log = follower.log.clone();
     let mut previous = BTreeSet::new();
--- a/src/ephemeral/follower.rs
+++ b/src/ephemeral/follower.rs
@@ -134,7 +134,7 @@
     pub prefix: &'a str,
     /// Name in logs and metrics.
     pub label: &'static str,
-    /// Whether leases hold them, so that they may be removed without an event.
+    /// Whether the keys are under leases, so that they may be removed without an event.
     pub leased: bool,
     /// Longest wait of a watch for a change.
     pub max_wait: Duration,
@@ -184,13 +184,13 @@
         let WatchedKeys { prefix, label, .. } = *keys;
         let mut availability = StoreAvailability::new(label, self.log.clone());
         let mut backoff = Backoff::default();
-        let mut typical = Duration::ZERO;
+        let mut last_read_time = Duration::ZERO;
         let mut delivered = None;
         loop {
             let (mut snapshot, took) = self
-                .read_until_answered(prefix, typical, &mut availability)
+                .read_until_answered(prefix, last_read_time, &mut availability)
                 .await;
-            typical = took;
+            last_read_time = took;
             if delivered.as_ref() != Some(&snapshot.entries) && !deliver(snapshot.update(None)) {
                 return;
             }
@@ -273,15 +273,16 @@
     /// duration of the successful read.
     ///
     /// Further reads start while earlier ones are pending, because a lost answer costs a whole
-    /// call timeout. `typical` delays them, so that slow reads are not repeated needlessly.
+    /// call timeout. Their delay grows with `last_read_time`, so that slow reads are not repeated
+    /// needlessly.
     async fn read_until_answered(
         &self,
         prefix: &str,
-        typical: Duration,
+        last_read_time: Duration,
         availability: &mut StoreAvailability,
     ) -> (KeySnapshot, Duration) {
         let mut calls = JoinSet::new();
-        let mut backoff = Backoff::from(typical * HEDGE_DELAY_FACTOR);
+        let mut backoff = Backoff::from(last_read_time * HEDGE_DELAY_FACTOR);
         loop {
             if calls.len() < MAX_CONCURRENT_READS {
                 let (store, prefix) = (self.store.clone(), prefix.to_string());
--- a/src/ephemeral/frame_counts.rs
+++ b/src/ephemeral/frame_counts.rs
@@ -3,7 +3,7 @@
 
 use crate::metrics::Metrics;
 
-/// Kind of a frame: the first of these that any of its messages has.
+/// Kind of a frame. Among messages of several kinds, the first kind in this order counts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum FrameKind {
     /// Opens a session.
--- a/src/ephemeral/gate/losses.rs
+++ b/src/ephemeral/gate/losses.rs
@@ -210,7 +210,8 @@
 
     fn keep_losses(&mut self, lost: impl Iterator<Item = WorkerLoss>) {
         for loss in lost {
-            self.losses.retain(|known| !known.is_of_same_run(&loss));
+            self.losses
+                .retain(|known| !known.has_same_task_and_worker(&loss));
             self.losses.push_back(loss);
         }
         let surplus = self.losses.len().saturating_sub(MAX_KEPT_LOSSES);
--- a/src/ephemeral/limits.rs
+++ b/src/ephemeral/limits.rs
@@ -25,8 +25,8 @@
 /// Heartbeat intervals without a frame before a second connection is opened. Above 1, as a turn
 /// of the gate's loop may delay its frame.
 const RECONNECT_HEARTBEATS: f64 = 1.25;
-/// Factor between the heartbeat intervals of idle and busy sessions. A failed peer of an idle
-/// session is detected by the next order.
+/// Factor between the heartbeat intervals of idle and busy sessions. Idle sessions need no fast
+/// detection of failures, as the next order detects them.
 const IDLE_HEARTBEAT_FACTOR: u32 = 8;
 const MAX_PEER_TIMEOUT: Duration = Duration::from_millis(1_000);
 
@@ -37,8 +37,8 @@
     pub heartbeat_interval: Duration,
     /// Heartbeat interval of a session without work.
     pub idle_heartbeat_interval: Duration,
-    /// How long a session counts as busy after its last run for the sender of heartbeats. The
-    /// receiver expects them for only half of it.
+    /// How long a session counts as busy after its last run. The sender of heartbeats uses the
+    /// whole time, the receiver only half of it.
     pub linger: Duration,
     /// Time without a frame after which a second connection is opened, as a connection may fail
     /// silently while the peer is alive.
@@ -47,7 +47,7 @@
     pub peer_timeout: Duration,
     /// Time without a frame after which the peer of a session without work counts as lost.
     pub idle_peer_timeout: Duration,
-    /// Age above which frames are discarded.
+    /// Age above which a frame is discarded and its session closed.
     pub max_frame_age: Duration,
     /// How long a restarted gate waits for entries to claim the runs it finds; it does not
     /// renew the worker's lease meanwhile.
--- a/src/ephemeral/losses.rs
+++ b/src/ephemeral/losses.rs
@@ -22,13 +22,14 @@
 const MAX_LIKELY_LOSSES: usize = 2;
 /// Confirmed crashes under an abandoned task after which its job fails.
 const MIN_CONFIRMED_CRASHES: usize = 2;
-/// A run is a likely cause of a loss only within this fraction (1/n) of its expected run time.
+/// A run is a likely cause of a loss only in the first 1/n of its expected run time, where n is
+/// this divisor.
 const EARLY_RUN_DIVISOR: u64 = 4;
-/// A run is not a likely cause if it is older than the youngest run on the worker by more than
-/// this factor, as crashes mostly follow soon after a start.
+/// A run is not a likely cause if its age exceeds that of the youngest run on the worker by more
+/// than this factor, as crashes mostly follow soon after a start.
 const MAX_AGE_RATIO: u64 = 2;
-/// A run counts as unfinished at a crash within this fraction (1/n) of its expected run time;
-/// later it may have ended unreported.
+/// A run counts as unfinished at a crash only in the first 1/n of its expected run time, where n
+/// is this divisor; later it may have ended without a report.
 const STILL_RUNNING_DIVISOR: u64 = 3;
 /// Retention of losses; longer than callers resend a job.
 const LOSS_RETENTION: Duration = Duration::from_secs(120);
@@ -44,7 +45,7 @@
     pub index: u32,
     /// Incarnation of the worker.
     pub worker: WorkerId,
-    /// Whether the task is the likely cause: it had just begun, later than others.
+    /// Whether the task is a likely cause ([`is_likely_cause`]).
     pub likely: bool,
     /// Whether the worker is known to have crashed while it ran the task. Otherwise the run may
     /// not have begun or may have ended, or the worker may be alive.
@@ -52,8 +53,8 @@
 }
 
 impl WorkerLoss {
-    /// Whether both describe the same task on the same worker.
-    pub fn is_of_same_run(&self, other: &WorkerLoss) -> bool {
+    /// Whether both are of the same task and the same worker incarnation.
+    pub fn has_same_task_and_worker(&self, other: &WorkerLoss) -> bool {
         (self.job, self.index) == (other.job, other.index) && self.worker == other.worker
     }
 }
@@ -80,12 +81,12 @@
     age_us.saturating_mul(STILL_RUNNING_DIVISOR) <= expected_us
 }
 
-/// Tasks on a worker whose gate is unreachable; they count as losses if the worker is lost.
+/// Tasks with open runs at a lost gate; they become losses if its worker is lost as well.
 #[derive(Debug)]
 pub struct OrphanedTasks {
-    /// When the gate was given up, in monotonic microseconds.
+    /// When the gate was lost, in monotonic microseconds.
     pub at_us: u64,
-    /// The tasks as possible losses.
+    /// The losses to record, one per open run.
     pub losses: Vec<WorkerLoss>,
 }
 
@@ -108,7 +109,10 @@
     /// Records a loss, or further details of a known one; returns `false` if nothing is new.
     pub fn record(&mut self, now: Moment, loss: &WorkerLoss) -> bool {
         let known = self.by_job.entry(loss.job).or_default();
-        if let Some(same) = known.iter_mut().find(|known| known.is_of_same_run(loss)) {
+        if let Some(same) = known
+            .iter_mut()
+            .find(|known| known.has_same_task_and_worker(loss))
+        {
             let is_new = loss.likely && !same.likely || loss.ran && !same.ran;
             same.likely |= loss.likely;
             same.ran |= loss.ran;
--- a/src/ephemeral/message.rs
+++ b/src/ephemeral/message.rs
@@ -121,7 +121,8 @@
         /// The run.
         run: RunId,
     },
-    /// Tasks under which a worker of this gate was lost while the gate was unreachable.
+    /// Losses of an earlier worker of this gate, by task; sent if the gate was lost as well and
+    /// may not have recorded them.
     Losses(Vec<WorkerLoss>),
     /// Heartbeat.
     Beat,
@@ -183,14 +184,14 @@
     pub leaves_headroom: bool,
     /// Whether worker speed is judged by the median of these runs instead of their mean.
     pub by_median: bool,
-    /// Time until it must begin to meet its objective, in microseconds; orders runs of the same
-    /// priority.
+    /// Time within which the run must begin to meet its objective, in microseconds. The queue
+    /// orders runs of the same priority by this deadline.
     pub due_us: u64,
     /// Run time that the entry expects on a worker of normal speed, in microseconds.
     pub expected_us: u64,
     /// Whether it may be stopped for being slow and moved to another gate.
     pub movable: bool,
-    /// Whether a worker was lost, or may have been lost, under its task.
+    /// Whether a worker was lost, or may have been lost, while it had the task.
     pub implicated: bool,
     /// Sequence number of the start in this session.
     pub number: u64,
@@ -217,8 +218,8 @@
         /// Its run time in microseconds; 0 if it never began.
         run_us: u64,
     },
-    /// Tasks under which the worker was lost, from all entries; sent before the ends of their
-    /// runs.
+    /// Losses of the gate's worker by task, including tasks of other entries; sent before the
+    /// `Ended` messages of their runs.
     Losses(Vec<WorkerLoss>),
     /// The worker began the run.
     Began {
@@ -298,15 +299,15 @@
     Unanswered,
     /// The worker rejected the order.
     Rejected,
-    /// This task and another one here both had a worker lost under them; they must not share a
-    /// worker, or a further loss could not be attributed.
+    /// Workers were lost both with this task and with another one here. The two must not share
+    /// a worker, or a further loss could not be attributed to one of them.
     Apart,
     /// Another run of the task is still open here; the task must not run elsewhere either.
     AlreadyHere,
 }
 
 impl NotRunReason {
-    /// Whether the worker may have received the run, which uses up its number.
+    /// Whether the worker may have received the run; its run number must then not be reused.
     pub fn may_have_reached_worker(self) -> bool {
         matches!(self, NotRunReason::Unanswered | NotRunReason::Rejected)
     }
@@ -319,8 +320,8 @@
     pub worker: Option<Arc<WorkerTraits>>,
     /// Unallocated capacity.
     pub free: Resources,
-    /// Load ahead of a new run, by priority: the first entry is for the most urgent, and each
-    /// holds up to the next. Empty if nothing is queued or nothing is known.
+    /// Load ahead of a new run, by priority, the most urgent first. Each element also applies to
+    /// the priorities between it and the next one. Empty if there is no load or it is unknown.
     pub queues: Vec<QueueLoad>,
     /// Mean run time of recent runs, in microseconds; 0 if unknown.
     pub mean_run_us: u64,
@@ -332,7 +333,7 @@
     pub leaving: bool,
     /// Whether it takes no new work because its failure domain is evacuated.
     pub evacuated: bool,
-    /// Sequence number of this entry's last start that is included in this load.
+    /// Sequence number of the last start from the receiving entry that this load includes.
     pub seen: u64,
 }
 
@@ -348,7 +349,7 @@
 /// Load queued at a gate.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct QueueLoad {
-    /// Most urgent priority that this load is ahead of.
+    /// Most urgent priority to which this load applies.
     pub priority: Priority,
     /// Processor time wanted by queued runs, plus the headroom that a new run leaves free, in
     /// thousandths of a core.
--- a/src/ephemeral/mod.rs
+++ b/src/ephemeral/mod.rs
@@ -1,14 +1,15 @@
 //! Ephemeral jobs: held in the memory of the entry that accepted them, never persisted.
 //!
 //! A job is answered on the connection that submitted it and then forgotten. A caller without
-//! an answer resends the job, to any entry. Submitting a job writes nothing to the store. Two
-//! runs of one task are kept apart by time limits: a run lasts only while the session between
-//! its owner and the gate beside the worker is alive, and the worker's lease ends before the
-//! caller resends ([`limits`]).
+//! an answer resends the job, to any entry. Submitting a job writes nothing to the store. Time
+//! limits prevent two runs of one task from overlapping: a run lasts only while the session
+//! between its owner (the entry that accepted the job) and the worker's gate is alive, and the
+//! worker's lease ends before the caller resends the job ([`limits`]).
 //!
 //! - [`job`], [`routes`]: job specifications, and what the configuration allows.
-//! - [`dispatcher`]: the entry's decisions; [`placement`] chooses gates.
-//! - [`gate`]: the decisions beside a worker; [`room`] counts its capacity.
+//! - [`dispatcher`]: state machine of an entry; [`placement`] chooses gates.
+//! - [`gate`]: state machine of an agent, which starts and stops runs on one worker; [`room`]
+//!   counts the worker's capacity.
 //! - [`evacuations`]: failure domains in which no runs are started.
 //! - [`run_spread`]: distribution of run times of one kind of job.
 //! - [`scheduling`]: scheduling features that the configuration enables.
@@ -18,7 +19,7 @@
 //!   [`suspension`] detects a suspended process, [`frame_counts`] counts frames by kind.
 //! - [`directory`]: discovery through the store; [`follower`] follows keys of the store,
 //!   [`backoff`] sets the pauses between retries.
-//! - [`entry`], [`agent`]: the event loops around the decisions.
+//! - [`entry`], [`agent`]: the event loops that run these state machines.
 
 pub mod agent;
 mod answer_times;
--- a/src/ephemeral/session.rs
+++ b/src/ephemeral/session.rs
@@ -78,7 +78,7 @@
     }
 }
 
-/// Estimates the transit time of frames from the smallest clock offset seen.
+/// Estimates the age of frames relative to the smallest clock offset seen.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct FrameClock {
     min_offset_us: Option<i64>,
@@ -176,7 +176,8 @@
         self.counts.report(metrics);
     }
 
-    /// Queues the collected messages; closes and returns the sessions that cannot take them.
+    /// Queues one frame per session with the messages to send; closes and returns the sessions
+    /// whose queue does not accept it.
     pub fn flush(&mut self) -> Vec<SessionId> {
         let mut stuck = Vec::new();
         for (session, open) in &mut self.open {
@@ -202,7 +203,7 @@
     connecting.and_then(Result::ok)
 }
 
-/// Transfers frames both ways until either side ends.
+/// Transfers frames both ways until the connection ends or the session is closed.
 async fn run_connection<S, R>(
     session: SessionId,
     stream: TcpStream,
