--- a/src/bench/slope_fleet.rs
+++ b/src/bench/slope_fleet.rs
@@ -160,7 +160,7 @@
         owner.set_lease_until(u64::MAX);
         owner.reconcile(moment(), &owned, Some(&holder));
         let settings = GateSettings {
-            me,
+            member: me,
             service: "s".to_string(),
             slots: 1_000,
             failure_domain: "a".to_string(),
--- a/src/fleet.rs
+++ b/src/fleet.rs
@@ -46,7 +46,7 @@
 
 impl MemberRecord {
     /// Whether `holder` is this member with its current lease.
-    pub fn holds(&self, holder: &Holder) -> bool {
+    pub fn is_holder(&self, holder: &Holder) -> bool {
         self.id == holder.member && self.session == holder.session
     }
 
@@ -91,11 +91,11 @@
     /// How the owner acquired the range.
     #[serde(rename = "passage")]
     pub acquisition: Acquisition,
-    /// Wall clock of the last departure of a gate other than the owner's; starts of older ids
-    /// there can't be recovered.
+    /// Wall-clock time at which a gate other than the owner's last left. Tasks with older ids may
+    /// have been started there and can't be recovered.
     pub departure_ms: u64,
-    /// Wall clock at which the owner acquired the range; its gate may hold tasks that a
-    /// previous owner started there.
+    /// Wall-clock time at which the owner acquired the range. The owner's own gate may hold tasks
+    /// of the range that a previous owner started.
     #[serde(default)]
     pub since_ms: u64,
 }
@@ -191,7 +191,7 @@
 /// This process's view of the fleet.
 #[derive(Clone, Debug)]
 pub struct Fleet {
-    record: Option<Arc<ConfigRecord>>,
+    config_record: Option<Arc<ConfigRecord>>,
     config: Arc<Config>,
     table: Arc<Table>,
     members_revision: u64,
@@ -204,7 +204,7 @@
     /// Creates an empty view with an initial configuration.
     pub fn new(config: Config) -> Fleet {
         Fleet {
-            record: None,
+            config_record: None,
             config: Arc::new(config),
             table: Arc::new(Table::default()),
             members_revision: 0,
@@ -220,12 +220,14 @@
 
     /// Revision of the current configuration; 0 if none was received yet.
     pub fn config_revision(&self) -> u64 {
-        self.record.as_ref().map_or(0, |record| record.revision)
+        self.config_record
+            .as_ref()
+            .map_or(0, |record| record.revision)
     }
 
     /// Record of the current configuration.
-    pub fn record(&self) -> Option<&Arc<ConfigRecord>> {
-        self.record.as_ref()
+    pub fn config_record(&self) -> Option<&Arc<ConfigRecord>> {
+        self.config_record.as_ref()
     }
 
     /// Table of key ranges.
@@ -254,7 +256,7 @@
         config.drained = record.drained.clone();
         config.evacuated = record.evacuated.clone();
         self.config = Arc::new(config);
-        self.record = Some(Arc::new(record));
+        self.config_record = Some(Arc::new(record));
         true
     }
 
@@ -315,7 +317,7 @@
     /// Snapshot of this view for a peer.
     pub fn snapshot(&self) -> Snapshot {
         Snapshot {
-            config: self.record.as_deref().cloned(),
+            config: self.config_record.as_deref().cloned(),
             table: Some((*self.table).clone()),
             members_revision: self.members_revision,
             members: self.members.values().cloned().collect(),
--- a/src/gate/mod.rs
+++ b/src/gate/mod.rs
@@ -77,7 +77,7 @@
 #[derive(Clone, Debug)]
 pub struct GateSettings {
     /// Process that the gate belongs to.
-    pub me: MemberId,
+    pub member: MemberId,
     /// Service of the target.
     pub service: String,
     /// Number of tasks that the target runs concurrently.
@@ -142,7 +142,7 @@
         self.retention = Duration::from_millis(config.ownership.retention_ms);
         self.stops_running = config.policy.cancel_stops_running;
         let settings = &self.settings;
-        self.drained = config.bars(&settings.me.name, &settings.failure_domain);
+        self.drained = config.bars(&settings.member.name, &settings.failure_domain);
         self.queue
             .configure(config, self.settings.slots, fleet_slots);
     }
@@ -171,7 +171,7 @@
     pub fn sample_load(&mut self) -> LoadSample {
         self.sample_count += 1;
         LoadSample {
-            gate: self.settings.me.clone(),
+            gate: self.settings.member.clone(),
             number: self.sample_count,
             running: self.running,
             urgent_queued: self.queue.urgent_len() as u32,
@@ -210,6 +210,7 @@
         }
     }
 
+    /// Makes `from` the owner of the task, and reports the task's state to it.
     fn report_to(&mut self, from: &MemberId, task: TaskId) -> Vec<GateAction> {
         let Some(record) = self.records.get_mut(&task) else {
             return Vec::new();
@@ -275,8 +276,8 @@
     fn start_queued(&mut self, now: Moment) -> Vec<GateAction> {
         let mut actions = Vec::new();
         while self.running < self.settings.slots {
-            let any_priority = self.running < self.slots_for(false);
-            let Some(queued) = self.queue.pop(now, any_priority) else {
+            let allow_non_urgent = self.running < self.slots_for(false);
+            let Some(queued) = self.queue.pop(now, allow_non_urgent) else {
                 break;
             };
             actions.push(self.start_run(now, queued));
@@ -330,7 +331,7 @@
         actions
     }
 
-    /// Reports a task to its owner, and refuses it if it has not started.
+    /// Refuses a task that has not started, and reports the task's state to its owner.
     pub fn inquire(
         &mut self,
         now: Moment,
@@ -372,7 +373,7 @@
         }
     }
 
-    /// Reports the tasks started in a range to its new owner.
+    /// Reports the tasks accepted in a range to its new owner.
     pub fn recover(&mut self, from: &MemberId, range: RangeId, epoch: Epoch) -> Vec<GateAction> {
         if epoch < self.min_epoch(range) {
             return Vec::new();
@@ -463,6 +464,7 @@
         }
     }
 
+    /// The task for a recovery report; `None` if it was refused.
     fn started(&self, task: TaskId) -> Option<StartedTask> {
         let outcome = match &self.state {
             TaskState::Refused { .. } => return None,
--- a/src/gate/queue.rs
+++ b/src/gate/queue.rs
@@ -1,7 +1,7 @@
 //! Priority queue of a gate.
 //!
-//! Considers tasks whose team is below its cap, and orders them by urgency, priority, the
-//! team's use of its share, and deadline. The queue is short enough for a linear scan.
+//! A task may run if its team is below its cap. Such tasks run in order of urgency, priority,
+//! the team's use of its share, and deadline. The queue is short enough for a linear scan.
 
 use std::cmp::Ordering;
 use std::collections::HashMap;
@@ -23,7 +23,7 @@
 }
 
 impl QueuedTask {
-    /// Creates an entry for a start received at `now`.
+    /// Creates a queued task from a start message received at `now`.
     pub fn new(now: Moment, start: Start) -> QueuedTask {
         let deadline_us = now.after(Duration::from_millis(start.budget_ms));
         QueuedTask { start, deadline_us }
@@ -55,8 +55,8 @@
 }
 
 impl Queue {
-    /// Applies the teams' shares and caps. The gate's part of a team's cap is proportional to
-    /// its slots.
+    /// Applies the teams' shares and caps. A team's cap at this gate is proportional to the
+    /// gate's share of all slots; without `fleet_slots` there is no cap.
     pub fn configure(&mut self, config: &Config, slots: u32, fleet_slots: u32) {
         for quota in self.quotas.values_mut() {
             quota.share = 1;
@@ -97,11 +97,12 @@
         self.tasks.push(queued);
     }
 
-    /// Removes the next task to run; only an urgent one unless `any_priority`.
-    pub fn pop(&mut self, now: Moment, any_priority: bool) -> Option<QueuedTask> {
+    /// Removes and returns the next task to run; only urgent tasks are eligible unless
+    /// `allow_non_urgent`.
+    pub fn pop(&mut self, now: Moment, allow_non_urgent: bool) -> Option<QueuedTask> {
         let is_in_time = |queued: &QueuedTask| queued.deadline_us > now.mono_us;
         let may_run = |queued: &QueuedTask| {
-            (any_priority || queued.start.urgent)
+            (allow_non_urgent || queued.start.urgent)
                 && self.team_has_capacity(queued.start.team.as_deref())
         };
         let candidates = self.tasks.iter().enumerate();
@@ -138,7 +139,7 @@
         self.tasks.len() < before
     }
 
-    /// Removes the tasks whose deadline has passed.
+    /// Removes the tasks whose deadline has passed, and returns their ids.
     pub fn remove_expired(&mut self, now: Moment) -> Vec<TaskId> {
         let is_expired = |queued: &QueuedTask| queued.deadline_us <= now.mono_us;
         let tasks = self.tasks.iter().filter(|queued| is_expired(queued));
--- a/src/link.rs
+++ b/src/link.rs
@@ -1,8 +1,8 @@
 //! Links between processes: bidirectional gRPC streams of frames.
 //!
 //! Either side may dial. Each side first sends an empty frame that identifies its process.
-//! Frames in flight are lost when a stream breaks; the state machines resend what they
-//! need. Dialing is retried until the member is removed.
+//! Frames in flight are lost when a stream breaks, so senders repeat messages that get no
+//! answer. A member is dialed again until it is removed.
 
 use std::collections::HashMap;
 use std::error::Error as _;
@@ -231,7 +231,7 @@
         }
     }
 
-    /// Members that are being dialed.
+    /// Members to which a stream is kept open.
     pub fn dialed(&self) -> Vec<MemberId> {
         self.shared.table().dialed.keys().cloned().collect()
     }
--- a/src/load.rs
+++ b/src/load.rs
@@ -1,6 +1,6 @@
 //! Load samples of gates.
 //!
-//! Samples are sent in frame headers, without probes of their own. A sample replaces
+//! Samples are sent in frame headers, not in messages of their own. A sample replaces
 //! another of its gate only if its number is higher, so order and repetition of delivery
 //! don't matter.
 
--- a/src/member.rs
+++ b/src/member.rs
@@ -92,7 +92,7 @@
     /// Creates the member that `record` describes.
     pub fn new(record: MemberRecord, fleet: &Fleet, seed: u64) -> Member {
         let gate = GateSettings {
-            me: record.id.clone(),
+            member: record.id.clone(),
             service: record.service.clone(),
             slots: record.slots,
             failure_domain: record.failure_domain.clone(),
--- a/src/message.rs
+++ b/src/message.rs
@@ -73,7 +73,7 @@
     },
     /// Owner to gate: run a task. Idempotent.
     Start(Box<Start>),
-    /// Owner to gate: report a task's state, and refuse it if it has not started.
+    /// Owner to gate: refuse a task if it has not started, and report its state.
     Inquire {
         /// The task.
         task: TaskId,
@@ -98,7 +98,7 @@
         /// Reason.
         reason: Refusal,
     },
-    /// Gate to owner: the task is running.
+    /// Gate to owner: the task is queued or running.
     Running {
         /// The task.
         task: TaskId,
@@ -112,20 +112,20 @@
         /// Run time at the target in microseconds.
         run_us: u64,
     },
-    /// New owner to gate: refuse starts of older epochs, and list the tasks started in a range.
+    /// New owner to gate: refuse starts of older epochs, and list the tasks accepted in a range.
     Recover {
         /// The range.
         range: RangeId,
         /// Epoch of the new owner.
         epoch: Epoch,
     },
-    /// Gate to new owner: all tasks started in the range.
+    /// Gate to new owner: all tasks that the gate accepted in the range.
     Recovered {
         /// The range.
         range: RangeId,
         /// Epoch of the request.
         epoch: Epoch,
-        /// Started tasks.
+        /// Accepted tasks.
         tasks: Vec<StartedTask>,
     },
     /// Leaving owner to its successor: state of a range.
@@ -223,8 +223,7 @@
     pub priority: u8,
     /// Remaining time until the deadline.
     pub budget_ms: u64,
-    /// Whether it is a job; the tasks of a job are never retried after an
-    /// unknown outcome.
+    /// Whether it is a job; its tasks are never retried after an unknown outcome.
     pub is_job: bool,
     /// Hash of the whole request.
     pub digest: u64,
@@ -335,9 +334,9 @@
     pub range: RangeId,
     /// Epoch of the leaving owner.
     pub epoch: Epoch,
-    /// Time up to which unlisted ids may already have been used.
+    /// An unlisted id with a later timestamp was never used.
     pub horizon_ms: u64,
-    /// Time after which unlisted ids were never started.
+    /// An unlisted id with a later timestamp was never started at a gate.
     pub proof_floor_ms: u64,
     /// All known submissions.
     pub entries: Vec<HandoverEntry>,
--- a/src/node.rs
+++ b/src/node.rs
@@ -35,22 +35,22 @@
 const WATCH_WAIT: Duration = Duration::from_secs(20);
 /// Delay before a failed watch is retried.
 const WATCH_RETRY_DELAY: Duration = Duration::from_millis(400);
-/// How long to wait for the watch before a snapshot is requested.
+/// How long the watch may take to deliver a newer revision before a snapshot is requested.
 const WATCH_GRACE: Duration = Duration::from_millis(150);
 /// Minimum time between two snapshot requests.
 const SNAPSHOT_REQUEST_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Counters of sent messages by class.
+/// Counters of sent messages by class, and the revision of the configuration.
 #[derive(Debug, Default)]
 pub struct MessageCounters {
     work: AtomicU64,
     control: AtomicU64,
     void: AtomicU64,
     frames: AtomicU64,
-    config: AtomicU64,
+    config_revision: AtomicU64,
 }
 
-/// Values of [`MessageCounters`].
+/// Message counts of [`MessageCounters`].
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MessageCounts {
     /// Messages that carry work.
@@ -75,7 +75,7 @@
 
     /// Revision of the current configuration.
     pub fn config_revision(&self) -> u64 {
-        self.config.load(Ordering::Relaxed)
+        self.config_revision.load(Ordering::Relaxed)
     }
 
     /// Current values.
@@ -90,7 +90,7 @@
 }
 
 impl MessageCounts {
-    /// Sum of both.
+    /// Sum of `self` and `other`.
     pub fn plus(self, other: MessageCounts) -> MessageCounts {
         MessageCounts {
             work: self.work + other.work,
@@ -288,7 +288,7 @@
         if changes.config {
             let revision = self.fleet.config_revision();
             self.message_counters
-                .config
+                .config_revision
                 .store(revision, Ordering::Relaxed);
             info!(self.log, "configuration applied"; "revision" => self.fleet.config_revision());
         }
--- a/src/worker.rs
+++ b/src/worker.rs
@@ -1,7 +1,7 @@
 //! Interface of a gate to its worker, and its HTTP implementation [`HttpWorker`].
 //!
 //! A task runs under a lease that the agent renews. A target stops a task whose lease has
-//! expired, so no task outlives its agent for longer than a lease.
+//! expired, so no task outlives its agent by more than a lease.
 
 use std::future::Future;
 use std::net::SocketAddr;
@@ -28,7 +28,7 @@
 /// Response status of a target that stopped the task.
 pub const STOPPED_STATUS: StatusCode = StatusCode::GONE;
 
-/// Order to run a task.
+/// Request to run a task.
 #[derive(Clone, Debug)]
 pub struct Run {
     /// The task.
