--- a/bench/ablate.py
+++ b/bench/ablate.py
@@ -1,11 +1,11 @@
 #!/usr/bin/env python3
-"""Takes one mechanism after the other out of a checkout and plays days without it.
+"""Runs the users' bench on a checkout with one mechanism removed at a time.
 
     bench/ablate.py BENCH CHECKOUT --why TEXT [--only A,B] [options of rounds.py] SITE...
 
-CHECKOUT is a scratch copy of the sources without changes of its own. Each patch in
-bench/ablations/ is applied there, played against the copy as it is, and taken back.
-A gain above zero means that callers are served better without the mechanism.
+CHECKOUT is a scratch copy of the sources without local changes. Each patch in
+bench/ablations/ is applied to it, compared with the unpatched copy, and reverted.
+A positive gain means that callers are served better without the mechanism.
 """
 
 import argparse
@@ -16,14 +16,14 @@
 import rounds
 
 
-def arguments():
+def parse_args():
     parser = argparse.ArgumentParser(description=__doc__.split("\n\n")[0])
     parser.add_argument("bench")
     parser.add_argument("checkout", type=pathlib.Path)
     parser.add_argument("sites", nargs="+", type=pathlib.Path)
     parser.add_argument("--why", required=True)
-    parser.add_argument("--only", help="names of patches, separated by commas")
-    parser.add_argument("--days", help="names or files, separated by commas")
+    parser.add_argument("--only", help="comma-separated names of patches")
+    parser.add_argument("--days", help="comma-separated names or files of days")
     parser.add_argument("--seeds", type=int, default=5)
     parser.add_argument("--jobs", type=int, default=4)
     parser.add_argument("--cpu", action="store_true")
@@ -31,25 +31,25 @@
     return parser.parse_args()
 
 
-def git(args, *words):
-    subprocess.run(["git", *words], cwd=args.checkout, check=True)
+def git(args, *command):
+    subprocess.run(["git", *command], cwd=args.checkout, check=True)
 
 
 def main():
-    args = arguments()
-    folder = pathlib.Path(__file__).resolve().parent / "ablations"
-    patches = sorted(folder.glob("*.patch"))
+    args = parse_args()
+    patch_dir = pathlib.Path(__file__).resolve().parent / "ablations"
+    patches = sorted(patch_dir.glob("*.patch"))
     if args.only:
         patches = [patch for patch in patches if patch.stem in args.only.split(",")]
-    why = args.why
-    args.why = f"{why}: as it is"
-    whole = rounds.play_all(args, args.checkout)
+    reason = args.why
+    args.why = f"{reason}: unpatched"
+    baseline = rounds.run_all(args, args.checkout)
     for patch in patches:
         git(args, "apply", str(patch))
-        args.why = f"{why}: without {patch.stem}"
-        without = rounds.play_all(args, args.checkout)
+        args.why = f"{reason}: without {patch.stem}"
+        without = rounds.run_all(args, args.checkout)
         git(args, "checkout", "-q", ".")
-        rounds.table(f"without {patch.stem}", whole, without)
+        rounds.print_table(f"without {patch.stem}", baseline, without)
         sys.stdout.flush()
     return 0
 
--- a/bench/account.py
+++ b/bench/account.py
@@ -1,12 +1,12 @@
 #!/usr/bin/env python3
-"""Tells from the processes' logs which jobs were not served in time, and why.
+"""Summarizes from the processes' logs which jobs missed their objective, and why.
 
     bench/account.py LOG [--span SECONDS]
 
-LOG is what a play with `--log all` printed (`--log front` does as well, but then
-nothing is said of room). For each span and route: jobs in time and late by the entry's
-own objective, refused and failed by reason; and for each span the room that gates had
-left when they ordered runs, and how long these had waited there.
+LOG is the output of a bench run with `--log all` (with `--log front`, the rows on gates
+are missing). Prints for each interval and route the numbers of jobs that were in time and
+late by the entry's objective, and of rejected and failed jobs by reason; and for each
+interval the free cores of gates when they ordered runs, and the waiting time of these runs.
 """
 
 import argparse
@@ -16,24 +16,24 @@
 
 LINE = re.compile(r'time_ms=(\d+) level=\w+ msg="([^"]+)" process=(\S+) (.*)$')
 FIELD = re.compile(r'(\w+)=("[^"]*"|\S*)')
-# Parts of the objective that the entry keeps back when it says when to begin.
+# Reserves that the entry subtracts from the objective to get the latest start of a job.
 RUN_MARGIN = 1.1
 OVERHEAD_US = 10_000
 
 
-def arguments():
+def parse_args():
     parser = argparse.ArgumentParser(description=__doc__.split("\n\n")[0])
     parser.add_argument("log", type=pathlib.Path)
-    parser.add_argument("--span", type=float, default=1.0, help="seconds in a row")
+    parser.add_argument("--span", type=float, default=1.0, help="interval in seconds")
     return parser.parse_args()
 
 
-def events(path):
-    """Time of the day in seconds, message, process and fields of each line."""
+def read_events(path):
+    """Yields the time in seconds, message, process and fields of each line."""
     with path.open(errors="replace") as f:
-        rows = [row for row in map(parsed, f) if row]
-    # Lines come in batches, and wall clocks differ: the earliest line of a process after
-    # its own clock tells how far that is off.
+        rows = [row for row in map(parse_line, f) if row]
+    # Lines arrive in batches and the wall clocks of processes differ. The smallest difference
+    # between the time of printing and that of logging is the offset of a process's clock.
     offsets = {}
     for shown_s, wall_ms, _, process, _ in rows:
         offset = shown_s - wall_ms / 1e3
@@ -42,20 +42,20 @@
         yield wall_ms / 1e3 + offsets[process], message, process, fields
 
 
-def parsed(line):
-    found = LINE.search(line)
+def parse_line(line):
+    match = LINE.search(line)
     try:
         shown_s = float(line.split(maxsplit=1)[0])
     except (ValueError, IndexError):
         return None
-    if not found:
+    if not match:
         return None
-    fields = {name: value.strip('"') for name, value in FIELD.findall(found[4])}
-    return shown_s, int(found[1]), found[2], found[3], fields
+    fields = {name: value.strip('"') for name, value in FIELD.findall(match[4])}
+    return shown_s, int(match[1]), match[2], match[3], fields
 
 
-def outcome(fields):
-    """What became of a job, in a few words."""
+def describe_outcome(fields):
+    """Describes the outcome of a job."""
     code, why = fields["code"], re.sub(r"[\d.]+", "N", fields.get("why", ""))
     if code != "COMPLETE":
         return f"{code}: {why}"
@@ -65,21 +65,21 @@
 
 
 def main():
-    args = arguments()
+    args = parse_args()
     jobs = collections.defaultdict(collections.Counter)
     orders = collections.defaultdict(list)
-    broken = 0
-    for at_s, message, process, fields in events(args.log):
+    unreadable = 0
+    for at_s, message, process, fields in read_events(args.log):
         span = int(at_s / args.span)
         try:
             if message == "job over":
-                jobs[span, fields["route"]][outcome(fields)] += 1
+                jobs[span, fields["route"]][describe_outcome(fields)] += 1
             elif message == "run ordered":
                 order = (process, int(fields["free_cpu_milli"]), int(fields["waited_us"]))
                 orders[span].append(order)
         except (KeyError, ValueError):
-            # Lines of several processes may be mixed up where they were cut.
-            broken += 1
+            # Lines of several processes may be interleaved.
+            unreadable += 1
     for (span, route), outcomes in sorted(jobs.items()):
         print(f"{span * args.span:8.1f} {route}")
         for what, count in outcomes.most_common():
@@ -90,8 +90,8 @@
         waited = [waited_us for _, _, waited_us in rows if waited_us]
         mean_ms = sum(waited) / max(1, len(waited)) / 1e3
         print(f"{span * args.span:8.1f} {len(rows)} orders at {len(gates)} gates, {free:.1f} cores"
-              f" left, {len(waited)} waited {mean_ms:.0f} ms")
-    print(f"{broken} lines not read")
+              f" free, {len(waited)} waited {mean_ms:.0f} ms")
+    print(f"{unreadable} lines could not be parsed")
 
 
 if __name__ == "__main__":
--- a/bench/pairs.py
+++ b/bench/pairs.py
@@ -1,11 +1,11 @@
 #!/usr/bin/env python3
-"""Writes a day for each pair of troubles, to be played on the users' bench.
+"""Generates a bench day for each pair of faults, to be run on the users' bench.
 
     bench/pairs.py SITE DIR [FIRST [COUNT]]
 
-SITE is a site file; its traffic is taken over. Each day holds both troubles
-twice, overlapping, in either order, and ends with all processes killed. FIRST
-and COUNT choose a part of the pairs, which stand in a fixed, shuffled order.
+SITE is a site file, whose traffic is used. Each day has both faults twice,
+overlapping, in either order, and ends with all processes killed. FIRST and COUNT
+select a part of the pairs, which are in a fixed, shuffled order.
 """
 
 import itertools
@@ -14,9 +14,9 @@
 import sys
 import tomllib
 
-# Troubles that the bench's `kinds` lists for best-effort jobs, and one hard form
-# of each; `plan` holds planned work.
-TROUBLES = {
+# A severe form of each fault that the bench's `kinds` lists for best-effort jobs. PLANS
+# are planned operations, which go under the key `plan`.
+FAULTS = {
     "burst": 'kind = "burst", x = 1.5, for_s = 4.0',
     "give-up": 'kind = "give_up", share = 0.4, for_s = 5.0',
     "workers-crash": 'kind = "srv_crash", share = 0.25, for_s = 3.0',
@@ -52,17 +52,17 @@
     "config": 'kind = "config_change", how = "timeout"',
     "reload": 'kind = "hup", share = 0.6, gap_s = 2.0',
 }
-# Seconds from the start of traffic at which the troubles begin.
+# Start times of the faults, in seconds from the start of traffic.
 FIRST_AT, FIRST_OVERLAP = 4.0, 5.2
 SECOND_AT, SECOND_OVERLAP = 16.0, 16.8
 
 
-def entries(table, times):
+def format_entries(table, times):
     rows = [f"  {{ at = {at}, {table[name]} }}," for name, at in times if name in table]
     return "\n".join(rows)
 
 
-def day(name, pair, traffic, seed):
+def format_day(name, pair, traffic, seed):
     a, b = pair
     times = [(a, FIRST_AT), (b, FIRST_OVERLAP), (b, SECOND_AT), (a, SECOND_OVERLAP)]
     return "\n".join(
@@ -74,19 +74,19 @@
             "one = 0.8",
             "zero = 0.4",
             'closing = { kind = "kill_all", down_s = 0.8 }',
-            f"plan = [\n{entries(PLANS, times)}\n]",
-            f"faults = [\n{entries(TROUBLES, times)}\n]",
+            f"plan = [\n{format_entries(PLANS, times)}\n]",
+            f"faults = [\n{format_entries(FAULTS, times)}\n]",
             f"traffic = {traffic}",
             "",
         ]
     )
 
 
-def toml(value):
+def to_toml(value):
     if isinstance(value, dict):
-        return "{ " + ", ".join(f"{key} = {toml(item)}" for key, item in value.items()) + " }"
+        return "{ " + ", ".join(f"{key} = {to_toml(item)}" for key, item in value.items()) + " }"
     if isinstance(value, list):
-        return "[" + ", ".join(toml(item) for item in value) + "]"
+        return "[" + ", ".join(to_toml(item) for item in value) + "]"
     return f'"{value}"' if isinstance(value, str) else str(value)
 
 
@@ -94,15 +94,15 @@
     site, out = pathlib.Path(sys.argv[1]), pathlib.Path(sys.argv[2])
     first = int(sys.argv[3]) if len(sys.argv) > 3 else 0
     last = first + int(sys.argv[4]) if len(sys.argv) > 4 else None
-    described = tomllib.loads(site.read_text())
-    troubled = next(day for day in described["day"] if day["slot"] == "trouble")
-    traffic = toml(troubled["traffic"])
-    pairs = list(itertools.combinations([*TROUBLES, *PLANS], 2))
+    site_config = tomllib.loads(site.read_text())
+    fault_day = next(day for day in site_config["day"] if day["slot"] == "trouble")
+    traffic = to_toml(fault_day["traffic"])
+    pairs = list(itertools.combinations([*FAULTS, *PLANS], 2))
     random.Random(1).shuffle(pairs)
     out.mkdir(parents=True, exist_ok=True)
     for number, pair in enumerate(pairs[first:last], first):
         name = f"{number:03}-{pair[0]}-{pair[1]}"
-        (out / f"{name}.toml").write_text(day(name, pair, traffic, 4711 + number))
+        (out / f"{name}.toml").write_text(format_day(name, pair, traffic, 4711 + number))
 
 
 if __name__ == "__main__":
--- a/bench/rounds.py
+++ b/bench/rounds.py
@@ -1,15 +1,15 @@
 #!/usr/bin/env python3
-"""Plays two builds of the sources over the same days and compares their worth.
+"""Compares the worth of two versions of the sources on the users' bench.
 
     bench/rounds.py BENCH BEFORE AFTER --why TEXT [--days A,B] [--seeds N]
                     [--jobs N] [--cpu] SITE...
 
-BENCH is the users' bench; BEFORE and AFTER are checkouts, each built by its own
-play. A day is a name of the site file or the path of a file of one's own. Every
-day is played under N seeds in both checkouts, without charging processor time
-unless --cpu is given, because plays mostly repeat then. Printed for each site and
-in all: plays, mean worth before and after, mean difference, the standard error of
-the difference, and what moved most. A gain below twice its error is none.
+BENCH is the users' bench; BEFORE and AFTER are checkouts, which the bench builds. A day
+is a name in the site file or the path of a separate file. Every day is run under N seeds
+in both checkouts. CPU time is charged only with --cpu, as runs are mostly reproducible
+without. Prints for each site and in total: the number of runs, the mean worth before and
+after, the mean difference, its standard error, and the difference in served jobs. A gain
+below twice its error is not significant.
 """
 
 import argparse
@@ -22,53 +22,52 @@
 import sys
 import tomllib
 
-# Base of the seeds; any fixed number serves.
 FIRST_SEED = 7001
 ROW = re.compile(r"^(\S+)\s+\d+/\d+\s+([\d.]+)\s+(-?[\d.]+)\s+([\d.]+)\s+([\d.]+)\s+([\d.]+)\s", re.M)
 PRICE = re.compile(r"^\s+-(-?[\d.]+)\s+-?[\d.]+ (.+)$", re.M)
 
 
-def arguments():
+def parse_args():
     parser = argparse.ArgumentParser(description=__doc__.split("\n\n")[0])
     parser.add_argument("bench")
     parser.add_argument("before", type=pathlib.Path)
     parser.add_argument("after", type=pathlib.Path)
     parser.add_argument("sites", nargs="+", type=pathlib.Path)
     parser.add_argument("--why", required=True)
-    parser.add_argument("--days", help="names or files, separated by commas")
+    parser.add_argument("--days", help="comma-separated names or files of days")
     parser.add_argument("--seeds", type=int, default=5)
     parser.add_argument("--jobs", type=int, default=4)
     parser.add_argument("--cpu", action="store_true")
     parser.add_argument("--keep", type=pathlib.Path,
-                        help="folder of results, by the names of the checkouts; used again if there")
+                        help="directory in which results are cached by the names of the checkouts")
     return parser.parse_args()
 
 
-def days_of(site, wanted):
-    """The days to play on a site: those named, or all with trouble."""
+def select_days(site, wanted):
+    """Returns the days to run on a site: those given, or all with faults."""
     if wanted:
         return wanted.split(",")
     days = tomllib.loads(site.read_text())["day"]
     return [day["name"] for day in days if day["slot"] != "quiet"]
 
 
-def play(args, tree, site, day, seed):
-    """A play, or its result from before."""
+def run_cached(args, tree, site, day, seed):
+    """Returns the result of a run, or the cached one."""
     if not args.keep:
-        return played(args, tree, site, day, seed)
+        return run_bench(args, tree, site, day, seed)
     args.keep.mkdir(parents=True, exist_ok=True)
     name = f"{tree.name}-{site.stem}-{pathlib.Path(day).stem}-{seed}-{args.cpu}.json"
     file = args.keep / name
     if file.exists():
         return json.loads(file.read_text())
-    result = played(args, tree, site, day, seed)
+    result = run_bench(args, tree, site, day, seed)
     if result:
         file.write_text(json.dumps(result))
     return result
 
 
-def played(args, tree, site, day, seed):
-    """Worth and prices of one play; none if it broke off."""
+def run_bench(args, tree, site, day, seed):
+    """Runs the bench once and returns worth and prices; None if it failed."""
     cmd = [args.bench, "run", str(site), day, "--seed", str(seed), "--why", args.why]
     if not args.cpu:
         cmd.append("--no-cpu")
@@ -84,8 +83,8 @@
     return {"worth": float(row[3]), "served": float(row[4]), "prices": prices}
 
 
-def compare(name, pairs):
-    """Prints a row for pairs of plays, before and after."""
+def print_comparison(name, pairs):
+    """Prints a row for pairs of runs, before and after."""
     gaps = [after["worth"] - before["worth"] for before, after in pairs]
     before = statistics.mean(pair[0]["worth"] for pair in pairs)
     after = statistics.mean(pair[1]["worth"] for pair in pairs)
@@ -95,38 +94,38 @@
           f"{error:7.4f} {served:+8.4f}")
 
 
-def play_all(args, tree):
-    """Results of all plays of a checkout, by site, day and seed."""
-    keys = [(site, day, seed) for site in args.sites for day in days_of(site, args.days)
+def run_all(args, tree):
+    """Returns the results of all runs of a checkout, by site, day and seed."""
+    keys = [(site, day, seed) for site in args.sites for day in select_days(site, args.days)
             for seed in range(FIRST_SEED, FIRST_SEED + args.seeds)]
-    # The first play builds; the others must not build beside it.
+    # Builds first, as concurrent runs must not build at the same time.
     subprocess.run([args.bench, "build"], cwd=tree, capture_output=True)
     with concurrent.futures.ThreadPoolExecutor(args.jobs) as pool:
-        results = list(pool.map(lambda key: play(args, tree, *key), keys))
+        results = list(pool.map(lambda key: run_cached(args, tree, *key), keys))
     names = [(site.stem, pathlib.Path(day).stem, seed) for site, day, seed in keys]
     return dict(zip(names, results))
 
 
-def table(title, before, after):
-    """Prints a row for each site, and one for all plays that both checkouts made."""
-    whole = {key: (before[key], after[key]) for key in before if before[key] and after[key]}
+def print_table(title, before, after):
+    """Prints a row for each site, and one for all runs that succeeded in both checkouts."""
+    pairs = {key: (before[key], after[key]) for key in before if before[key] and after[key]}
     print(f"{title:34} plays  before   after     gain   error   served")
-    for site in dict.fromkeys(key[0] for key in whole):
-        compare(site[:30], [both for key, both in whole.items() if key[0] == site])
-    if len(whole) > 1:
-        compare("all", list(whole.values()))
-    return len(whole) == len(before)
+    for site in dict.fromkeys(key[0] for key in pairs):
+        print_comparison(site[:30], [both for key, both in pairs.items() if key[0] == site])
+    if len(pairs) > 1:
+        print_comparison("all", list(pairs.values()))
+    return len(pairs) == len(before)
 
 
 def main():
-    args = arguments()
-    before = play_all(args, args.before)
-    after = play_all(args, args.after)
+    args = parse_args()
+    before = run_all(args, args.before)
+    after = run_all(args, args.after)
     for day in dict.fromkeys(key[1] for key in before):
         of_day = [{key: result for key, result in side.items() if key[1] == day}
                   for side in (before, after)]
-        table(day, *of_day)
-    return 0 if table("all days", before, after) else 1
+        print_table(day, *of_day)
+    return 0 if print_table("all days", before, after) else 1
 
 
 if __name__ == "__main__":
--- a/bench/sites.py
+++ b/bench/sites.py
@@ -1,12 +1,12 @@
 #!/usr/bin/env python3
-"""Draws deployments from seeds, to be played on the users' bench.
+"""Generates random deployments from seeds, to be run on the users' bench.
 
     bench/sites.py TEMPLATE DIR SEED [SEED...]
 
-TEMPLATE is a site file; the wire.json beside it is copied to DIR. A drawn site has
-its kinds of request and its days, but other work times, widths, sizes of tasks,
-speeds and numbers of workers, failure domains and shares of traffic. Its load is a
-drawn part of its capacity. Nothing of it is kept in the repository.
+TEMPLATE is a site file; the wire.json next to it is copied to DIR. A generated site has
+the template's request kinds and days, but random work times, widths, task sizes, worker
+speeds and counts, failure domains and traffic shares. Its load is a random fraction of
+its capacity. Generated sites are not committed.
 """
 
 import pathlib
@@ -15,15 +15,15 @@
 import sys
 import tomllib
 
-# Jobs a second of a drawn deployment: entries on a quarter of a core take the most,
-# fewer than the least tell little in half a minute.
+# Minimum and maximum jobs per second: fewer jobs are too few for a statistic, more exceed
+# the capacity of the entries.
 JOBS_PER_S = (25.0, 330.0)
-# Part of the capacity that is asked for on a day of usual traffic.
+# Minimum and maximum load on a day of usual traffic, as a fraction of the capacity.
 LOADS = (0.5, 0.8)
 
 
 def draw(rng, site):
-    """Parameters of a deployment."""
+    """Draws the parameters of a deployment."""
     classes = site["classes"]
     scale = rng.choice([0.1, 0.25, 0.5, 1.0, 2.0, 4.0])
     workers = rng.randint(5, 24)
@@ -42,47 +42,47 @@
             "cores": cores, "kinds": kinds, "load": rng.uniform(*LOADS)}
 
 
-def rates(par):
-    """Jobs a second of each kind, so that the load is as drawn."""
-    speed = sum(par["speeds"]) / len(par["speeds"])
-    capacity = par["workers"] * par["cores"] * par["load"] / speed
-    whole = sum(kind["share"] for kind in par["kinds"])
-    found = []
-    for kind in par["kinds"]:
+def rates(params):
+    """Returns the jobs per second of each kind that result in the drawn load."""
+    speed = sum(params["speeds"]) / len(params["speeds"])
+    capacity = params["workers"] * params["cores"] * params["load"] / speed
+    total_share = sum(kind["share"] for kind in params["kinds"])
+    job_rates = []
+    for kind in params["kinds"]:
         cost = kind["width"] * kind["work_ms"] / 1000 * kind["cpu"] / 1000
-        found.append(capacity * kind["share"] / whole / cost)
-    return found
+        job_rates.append(capacity * kind["share"] / total_share / cost)
+    return job_rates
 
 
-def draw_playable(seed, site):
-    """The first draw of a seed whose number of jobs the bench can play."""
+def draw_within_limits(seed, site):
+    """Returns the first draw of a seed whose job rate is within the limits."""
     for attempt in range(1000):
-        par = draw(random.Random(seed * 1000 + attempt), site)
-        if JOBS_PER_S[0] <= sum(rates(par)) <= JOBS_PER_S[1]:
-            return par
-    raise SystemExit(f"seed {seed}: no draw is playable")
+        params = draw(random.Random(seed * 1000 + attempt), site)
+        if JOBS_PER_S[0] <= sum(rates(params)) <= JOBS_PER_S[1]:
+            return params
+    raise SystemExit(f"seed {seed}: no draw has a job rate within the limits")
 
 
-def value(item):
-    """TOML of a value; tables are written inline."""
+def to_toml(item):
+    """Formats a value as TOML, with inline tables."""
     if isinstance(item, bool):
         return "true" if item else "false"
     if isinstance(item, str):
         return '"' + item.replace("\\", "\\\\").replace('"', '\\"') + '"'
     if isinstance(item, dict):
-        return "{ " + ", ".join(f"{key} = {value(one)}" for key, one in item.items()) + " }"
+        return "{ " + ", ".join(f"{key} = {to_toml(one)}" for key, one in item.items()) + " }"
     if isinstance(item, list):
-        return "[" + ", ".join(value(one) for one in item) + "]"
+        return "[" + ", ".join(to_toml(one) for one in item) + "]"
     return repr(item)
 
 
-def spread(par, site, seed):
-    """The site of drawn parameters."""
+def apply_params(params, site, seed):
+    """Applies drawn parameters to a site."""
     rng = random.Random(seed)
-    per_s = rates(par)
-    workers = par["workers"]
+    per_s = rates(params)
+    workers = params["workers"]
     site["name"] = f"drawn-{seed}"
-    zones = [f"z{index}" for index in range(par["zones"])]
+    zones = [f"z{index}" for index in range(params["zones"])]
     region = site["zones"][0]["region"]
     site["zones"] = [{"name": zone, "region": region} for zone in zones]
     front, side = site["machines"][0], site["machines"][-1]
@@ -90,9 +90,9 @@
     site["machines"] = [dict(front, zone=zone) for zone in zones] + [
         dict(side, zone=zone, count=count) for zone, count in zip(zones, counts) if count]
     node = site["services"][0]["node"]
-    node.update(cpu=par["cores"] * 1000, sizes=[1.0], kinds=["a"])
-    site["services"][0]["speeds"] = par["speeds"]
-    for kind, drawn, rate in zip(site["classes"], par["kinds"], per_s):
+    node.update(cpu=params["cores"] * 1000, sizes=[1.0], kinds=["a"])
+    site["services"][0]["speeds"] = params["speeds"]
+    for kind, drawn, rate in zip(site["classes"], params["kinds"], per_s):
         mean = drawn["work_ms"]
         kind["work_ms"] = dict(kind["work_ms"], mean=mean, max=mean * 4)
         kind["jobs"]["width"] = dict(kind["jobs"]["width"], mean=drawn["width"], max=drawn["width"] * 4)
@@ -103,8 +103,8 @@
     shares = [rng.uniform(0.7, 1.3) for _ in zones]
 
     def traffic(rows):
-        whole = sum(row["per_s"] for row in rows) / usual * sum(per_s)
-        return [dict(rows[0], zone=zone, mix=mix, per_s=whole * share / sum(shares))
+        total = sum(row["per_s"] for row in rows) / usual * sum(per_s)
+        return [dict(rows[0], zone=zone, mix=mix, per_s=total * share / sum(shares))
                 for zone, share in zip(zones, shares)]
 
     for day in site["day"]:
@@ -114,15 +114,15 @@
     return site
 
 
-def write(site):
-    """TOML of a site: plain keys, then tables, then the days."""
-    lines = [f"{key} = {value(one)}" for key, one in site.items()
+def format_site(site):
+    """Formats a site as TOML: plain keys, then tables, then days."""
+    lines = [f"{key} = {to_toml(one)}" for key, one in site.items()
              if not isinstance(one, dict) and key != "day"]
     for key, one in site.items():
         if isinstance(one, dict):
-            lines += ["", f"[{key}]"] + [f"{name} = {value(part)}" for name, part in one.items()]
+            lines += ["", f"[{key}]"] + [f"{name} = {to_toml(part)}" for name, part in one.items()]
     for day in site["day"]:
-        lines += ["", "[[day]]"] + [f"{name} = {value(part)}" for name, part in day.items()]
+        lines += ["", "[[day]]"] + [f"{name} = {to_toml(part)}" for name, part in day.items()]
     return "\n".join(lines) + "\n"
 
 
@@ -132,14 +132,14 @@
     shutil.copyfile(template.parent / "wire.json", target / "wire.json")
     for seed in map(int, sys.argv[3:]):
         site = tomllib.loads(template.read_text())
-        par = draw_playable(seed, site)
-        site = spread(par, site, seed)
-        (target / f"drawn-{seed}.toml").write_text(write(site))
+        params = draw_within_limits(seed, site)
+        site = apply_params(params, site, seed)
+        (target / f"drawn-{seed}.toml").write_text(format_site(site))
         jobs = sum(row["per_s"] for row in site["traffic"])
-        sizes = [f"{kind['width']}x{kind['work_ms']:.0f}ms/{kind['cpu'] / 1000:.1f}" for kind in par["kinds"]]
+        sizes = [f"{kind['width']}x{kind['work_ms']:.0f}ms/{kind['cpu'] / 1000:.1f}" for kind in params["kinds"]]
         machines = sum(row["count"] for row in site["machines"] if row["class"] == "side")
-        print(f"drawn-{seed}: {machines} workers of {par['cores']} cores, speeds {par['speeds']}, "
-              f"{par['zones']} domains, {jobs:.0f} jobs/s of {', '.join(sizes)}, load {par['load']:.2f}")
+        print(f"drawn-{seed}: {machines} workers of {params['cores']} cores, speeds {params['speeds']}, "
+              f"{params['zones']} domains, {jobs:.0f} jobs/s of {', '.join(sizes)}, load {params['load']:.2f}")
 
 
 if __name__ == "__main__":
