--- a/src/agent/mod.rs
+++ b/src/agent/mod.rs
@@ -27,7 +27,7 @@
 use crate::ownership::StoreOp;
 use crate::settings::AgentSettings;
 use crate::store::{Store, StoreError, StoreReply, StoreRequest};
-use crate::supervisor::{Stop, Supervisor};
+use crate::supervisor::{StopSignal, Supervisor};
 use crate::time::{Moment, Timer};
 use crate::worker::{Control, Run, Worker};
 
@@ -173,17 +173,17 @@
     }
 
     /// Runs until `stop`, then leaves the fleet in order.
-    pub async fn run(self, stop: Stop) -> Result<()> {
+    pub async fn run(self, stop: StopSignal) -> Result<()> {
         let core = self.core;
         let (timer, log) = (core.node.timer.clone(), core.node.log.clone());
         let links = core.node.links.clone();
         let mut tree = Supervisor::new(log.clone(), timer.clone());
         let (listener, tx) = (self.listener, core.tx.clone());
-        tree.vital("peers", async move {
+        tree.spawn_critical("peers", async move {
             links.serve(listener, std::future::pending()).await
         });
         let (store, watch_timer, watch_tx) = (core.store.clone(), timer.clone(), tx.clone());
-        tree.restarting("watch", move || {
+        tree.spawn_restarting("watch", move || {
             let watch = watch_store(
                 store.clone(),
                 watch_timer.clone(),
@@ -196,7 +196,7 @@
             }
         });
         tokio::spawn(forward_events(timer, self.link_events, stop, tx));
-        tree.vital("core", core.run(self.events));
+        tree.spawn_critical("core", core.run(self.events));
         tree.run().await
     }
 }
--- a/src/agent/rows.rs
+++ b/src/agent/rows.rs
@@ -147,7 +147,7 @@
             "config": self.node.fleet.config_revision(),
             "table": self.node.fleet.table().revision,
             "ranges": self.member.owner.held_ranges().len(),
-            "lease_left_ms": now.left(leased_us).as_millis() as u64,
+            "lease_left_ms": now.remaining(leased_us).as_millis() as u64,
             "stopping": self.member.is_stopping(),
             "work_messages": counts.work,
             "control_messages": counts.control,
--- a/src/bench/caller.rs
+++ b/src/bench/caller.rs
@@ -1,5 +1,5 @@
-//! Callers: send what is planned, come back as a careful client would, and
-//! note what they were told.
+//! Callers that send planned submissions, retry them as a well-behaved client does and record
+//! the answers.
 
 use std::collections::HashSet;
 use std::net::SocketAddr;
@@ -12,17 +12,17 @@
 
 use crate::bench::CALLER_DELAY;
 use crate::bench::history::{Attempt, History, SubmissionRecord};
-use crate::bench::workload::{Planned, Workload};
+use crate::bench::workload::{PlannedSubmission, Workload};
 use crate::client::{EntryClient, EntryReply};
 use crate::code::Effect;
 use crate::id::SubmissionId;
 use crate::local::Local;
 use crate::time::{Timer, micros};
 
-/// Wait before a caller comes back that was not told when.
-const COME_BACK: Duration = Duration::from_millis(150);
-/// Time after its deadline for which a caller listens.
-const LISTEN: Duration = Duration::from_millis(900);
+/// Delay before a retry if the answer suggests none.
+const RETRY_DELAY: Duration = Duration::from_millis(150);
+/// Time after its deadline for which a caller waits for an answer.
+const ANSWER_GRACE: Duration = Duration::from_millis(900);
 
 struct Shared {
     timer: Timer,
@@ -33,14 +33,14 @@
     seed: u64,
 }
 
-/// The callers of a run.
+/// Callers of a run.
 #[derive(Clone)]
 pub struct Callers {
     shared: Arc<Shared>,
 }
 
 impl Callers {
-    /// Callers of all entries of `fleet`.
+    /// Creates callers of all entries of `fleet`.
     pub fn new(fleet: &Local, history: Arc<History>, seed: u64) -> Callers {
         let addrs: Vec<SocketAddr> = fleet.entries.iter().map(|entry| entry.addr).collect();
         let shared = Shared {
@@ -56,21 +56,21 @@
         }
     }
 
-    /// Sends everything at its time and waits for all answers.
+    /// Sends each submission at its time and waits for all answers.
     pub async fn run(self, workload: Workload) {
         let start_us = self.shared.timer.now().mono_us;
         let mut calls = JoinSet::new();
         for (number, planned) in workload.submissions.into_iter().enumerate() {
             let due_us = start_us + micros(planned.at);
-            let left = self.shared.timer.now().left(due_us);
+            let left = self.shared.timer.now().remaining(due_us);
             self.shared.timer.sleep(left).await;
             let caller = self.clone();
-            calls.spawn(async move { caller.call(number, planned).await });
+            calls.spawn(async move { caller.submit(number, planned).await });
         }
         while calls.join_next().await.is_some() {}
     }
 
-    /// Cancels a share of what is open.
+    /// Cancels a percentage of the open submissions.
     pub async fn cancel_some(&self, percent: usize) {
         let open: Vec<String> = lock(&self.shared.open).iter().cloned().collect();
         let count = open.len() * percent / 100;
@@ -82,7 +82,7 @@
         }
     }
 
-    async fn call(&self, number: usize, planned: Planned) {
+    async fn submit(&self, number: usize, planned: PlannedSubmission) {
         let now = self.shared.timer.now();
         let id = SubmissionId::random(now.wall_ms).to_string();
         lock(&self.shared.open).insert(id.clone());
@@ -90,10 +90,10 @@
         let mut record = SubmissionRecord {
             id: id.clone(),
             sent_us: now.mono_us,
-            done_us: 0,
+            ended_us: 0,
             attempts: Vec::new(),
             results: 0,
-            own_results: false,
+            has_own_results: false,
             cancelled: false,
             planned,
         };
@@ -103,18 +103,18 @@
             let Some(wait) = wait else {
                 break;
             };
-            if self.shared.timer.now().left(deadline_us) <= wait {
+            if self.shared.timer.now().remaining(deadline_us) <= wait {
                 break;
             }
             self.shared.timer.sleep(wait).await;
         }
-        record.done_us = self.shared.timer.now().mono_us;
+        record.ended_us = self.shared.timer.now().mono_us;
         lock(&self.shared.open).remove(&id);
         record.cancelled = lock(&self.shared.cancelled).contains(&id);
-        self.shared.history.done(record);
+        self.shared.history.record_submission(record);
     }
 
-    /// Tries once; says after what time to come back, if that makes sense.
+    /// Sends the submission once; returns the delay before a retry, if one is useful.
     async fn attempt(
         &self,
         number: usize,
@@ -126,11 +126,11 @@
         let entry = (number + tries + self.shared.seed as usize) % self.shared.clients.len();
         let client = &self.shared.clients[entry];
         let sent = self.shared.timer.now();
-        let left = sent.left(deadline_us);
+        let left = sent.remaining(deadline_us);
         let reply = self
             .shared
             .timer
-            .within(left + LISTEN, self.send(client, record, body, left));
+            .timeout(left + ANSWER_GRACE, self.send(client, record, body, left));
         let reply = reply.await.flatten();
         record.attempts.push(Attempt {
             sent_us: sent.mono_us,
@@ -139,13 +139,13 @@
             effect: reply.as_ref().and_then(effect),
         });
         let Some(reply) = reply else {
-            return Some(COME_BACK);
+            return Some(RETRY_DELAY);
         };
         if reply.status == 200 {
-            note_results(record, &reply);
+            record_results(record, &reply);
             return None;
         }
-        comes_back(&reply)
+        retry_delay(&reply)
     }
 
     async fn send(
@@ -185,7 +185,7 @@
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-fn body(id: &str, planned: &Planned) -> String {
+fn body(id: &str, planned: &PlannedSubmission) -> String {
     let task = |index: usize| json!({ "run_ms": planned.run_ms[index], "nonce": nonce(id, index) });
     match planned.is_job {
         false => task(0).to_string(),
@@ -224,22 +224,22 @@
     }
 }
 
-/// A refusal of what was not run, and an answer that may still come, are worth
-/// another try with the same id.
-fn comes_back(reply: &EntryReply) -> Option<Duration> {
+/// Delay before a retry with the same id. Submissions that were rejected unrun, or whose answer
+/// is pending, are retried.
+fn retry_delay(reply: &EntryReply) -> Option<Duration> {
     let body = reply.json();
-    let again = matches!(
+    let retryable = matches!(
         body["name"].as_str(),
         Some("OVERLOADED" | "QUOTA_EXCEEDED" | "NO_OWNER" | "STOPPING")
     );
-    let told = body["retry_after_ms"].as_u64().map(Duration::from_millis);
-    match (again, told) {
-        (true, told) => Some(told.unwrap_or(COME_BACK)),
-        (false, told) => told,
+    let suggested = body["retry_after_ms"].as_u64().map(Duration::from_millis);
+    match (retryable, suggested) {
+        (true, suggested) => Some(suggested.unwrap_or(RETRY_DELAY)),
+        (false, suggested) => suggested,
     }
 }
 
-fn note_results(record: &mut SubmissionRecord, reply: &EntryReply) {
+fn record_results(record: &mut SubmissionRecord, reply: &EntryReply) {
     let body = reply.json();
     let results: Vec<&Value> = match record.planned.is_job {
         true => body["results"]
@@ -248,9 +248,9 @@
             .unwrap_or_default(),
         false => vec![&body],
     };
-    let own = |(index, result): (usize, &&Value)| {
+    let is_own = |(index, result): (usize, &&Value)| {
         result["echo"]["nonce"].as_str() == Some(&nonce(&record.id, index))
     };
-    record.own_results = results.iter().enumerate().all(own);
+    record.has_own_results = results.iter().enumerate().all(is_own);
     record.results = results.len();
 }
--- a/src/bench/capacity.rs
+++ b/src/bench/capacity.rs
@@ -1,5 +1,5 @@
-//! The tables of docs/CAPACITY.md, worked out from measured slopes and the
-//! sizes that the users gave.
+//! Computes the tables of docs/CAPACITY.md from measured slopes and the expected sizes of a
+//! deployment.
 
 use crate::bench::slopes::{Series, Slopes, job_bytes};
 
@@ -19,7 +19,7 @@
 const CHANGES_KEPT: f64 = 1_000.0;
 const DAY_S: f64 = 86_400.0;
 const TICKS_PER_SECOND: f64 = 50.0;
-/// Mean run time that the requests under way are reckoned with, in seconds.
+/// Assumed mean run time in seconds.
 const MEAN_RUN_S: f64 = 0.25;
 
 const CPU_LIMIT_PERCENT: f64 = 1.6;
@@ -60,13 +60,13 @@
     fn line(&self) -> String {
         let limit = match self.limit {
             None => "none given".to_string(),
-            Some(limit) if self.value <= limit => format!("{} kept", number(limit)),
-            Some(limit) => format!("**{} broken**", number(limit)),
+            Some(limit) if self.value <= limit => format!("{} kept", format_number(limit)),
+            Some(limit) => format!("**{} broken**", format_number(limit)),
         };
         format!(
             "| {} | {} {} | {limit} | {} | {} |\n",
             self.what,
-            number(self.value),
+            format_number(self.value),
             self.unit,
             self.mechanism,
             self.slope
@@ -74,7 +74,7 @@
     }
 }
 
-fn number(value: f64) -> String {
+fn format_number(value: f64) -> String {
     match value {
         value if value >= 100.0 => format!("{value:.0}"),
         value if value >= 1.0 => format!("{value:.1}"),
@@ -82,8 +82,8 @@
     }
 }
 
-/// All tables, as Markdown.
-pub fn page(slopes: &Slopes) -> String {
+/// Formats all tables as Markdown.
+pub fn render(slopes: &Slopes) -> String {
     let mut text = table("Entry (one of 16)", &entry(slopes));
     text.push_str(&table("Agent as gate of its target", &gate(slopes)));
     text.push_str(&table(
@@ -94,7 +94,7 @@
     text.push_str(&table(title, &aggregator(slopes)));
     text.push_str(&table("Any daemon, for control", &control(slopes)));
     text.push_str(&table("The platform's store, as we use it", &store(slopes)));
-    text.push_str(&fits(slopes));
+    text.push_str(&fit_table(slopes));
     text
 }
 
@@ -157,7 +157,7 @@
     let starts = STARTS_PER_SECOND / WORKERS;
     let agent = slopes.get("agent_job_us");
     let bytes = slopes.get("start_bytes").slope + slopes.get("finish_bytes").slope;
-    let kept = starts * RETENTION_S;
+    let retained = starts * RETENTION_S;
     vec![
         Row::new(
             "starts",
@@ -193,7 +193,7 @@
         ),
         Row::new(
             "memory of remembered tasks",
-            kept * slopes.get("record_memory").slope / VALUE_BYTES,
+            retained * slopes.get("record_memory").slope / VALUE_BYTES,
             "MB",
             Some(MEMORY_LIMIT_MB),
             "records for 300 s",
@@ -206,7 +206,7 @@
     let tasks = STARTS_PER_SECOND / OWNERS;
     let agent = slopes.get("agent_job_us");
     let choose = slopes.get("choose_us");
-    let kept = slopes.get("submission_memory").slope;
+    let retained = slopes.get("submission_memory").slope;
     let open = tasks * MEAN_RUN_S;
     vec![
         Row::new("tasks placed", tasks, "a second", None, "dispatch", "given"),
@@ -268,7 +268,7 @@
         ),
         Row::new(
             "memory of kept answers, requests only",
-            tasks * RETENTION_S * kept / VALUE_BYTES,
+            tasks * RETENTION_S * retained / VALUE_BYTES,
             "MB",
             Some(MEMORY_LIMIT_MB),
             "table kept for 300 s",
@@ -276,7 +276,7 @@
         ),
         Row::new(
             "memory of kept answers, requests only, 60 s",
-            tasks * 60.0 * kept / VALUE_BYTES,
+            tasks * 60.0 * retained / VALUE_BYTES,
             "MB",
             Some(MEMORY_LIMIT_MB),
             "`retention_ms: 60000`",
@@ -285,7 +285,7 @@
     ]
 }
 
-/// An owner as aggregator: each gate beats once a second to three owners.
+/// Costs of heartbeats at an owner; each gate sends one per second to three owners.
 fn aggregator(slopes: &Slopes) -> Vec<Row> {
     let beats = WORKERS * 3.0 / OWNERS;
     let mechanism = "gates beat to three owners, on work frames where there are any (to be built)";
@@ -311,8 +311,8 @@
     ]
 }
 
-/// Bytes of everything that a watch brings today.
-fn watched_bytes(slopes: &Slopes) -> f64 {
+/// Size in bytes of all records that a watch returns.
+fn watch_bytes(slopes: &Slopes) -> f64 {
     let members = slopes.get("member_bytes").at(WORKERS);
     let table = slopes.get("table_bytes").at(RANGES) + WORKERS * 40.0;
     members + table + config_bytes(slopes)
@@ -324,7 +324,7 @@
 
 fn control(slopes: &Slopes) -> Vec<Row> {
     let changes = (2.0 * MEMBER_CHANGES_PER_DAY + CONFIG_CHANGES_PER_DAY) / DAY_S;
-    let news_us = slopes.get("member_news_us").at(WORKERS)
+    let update_us = slopes.get("member_news_us").at(WORKERS)
         + slopes.get("plan_us").at(RANGES)
         + slopes.get("config_us").at(TEAMS);
     let deltas = changes
@@ -332,13 +332,13 @@
             .get("member_bytes")
             .slope
             .max(slopes.get("change_bytes").slope);
-    let whole = CONFIG_CHANGES_PER_DAY / DAY_S * slopes.get("config_bytes").at(TEAMS);
+    let documents = CONFIG_CHANGES_PER_DAY / DAY_S * slopes.get("config_bytes").at(TEAMS);
     let links = WORKERS * slopes.get("link_memory").slope / 2.0;
     let owner_links = OWNERS * slopes.get("link_memory").slope / 2.0;
     vec![
         Row::new(
             "processor for news",
-            changes * news_us / 1e4,
+            changes * update_us / 1e4,
             "% of a core",
             Some(CPU_LIMIT_PERCENT),
             "members, table, configuration read anew",
@@ -346,7 +346,7 @@
         ),
         Row::new(
             "bytes of news, everything at each change",
-            changes * watched_bytes(slopes),
+            changes * watch_bytes(slopes),
             "bytes/s",
             Some(BYTES_LIMIT),
             "the watch as it runs today",
@@ -354,7 +354,7 @@
         ),
         Row::new(
             "bytes of news, only what changed",
-            deltas + whole,
+            deltas + documents,
             "bytes/s",
             Some(BYTES_LIMIT),
             "deltas of members, document without its trail (to be built)",
@@ -383,7 +383,7 @@
     let renewals = |leases: f64| leases / (LEASE_S / 2.0);
     let watchers = WORKERS + ENTRIES;
     let changes = (2.0 * MEMBER_CHANGES_PER_DAY + CONFIG_CHANGES_PER_DAY) / DAY_S;
-    let few = OWNERS + ENTRIES;
+    let owners_and_entries = OWNERS + ENTRIES;
     vec![
         Row::new(
             "renewals, every agent a lease",
@@ -419,7 +419,7 @@
         ),
         Row::new(
             "watches begun, owners and entries",
-            few / WATCH_S + few * changes,
+            owners_and_entries / WATCH_S + owners_and_entries * changes,
             "calls/s",
             Some(STORE_READS),
             "others ask peers (runs today for who is behind)",
@@ -444,7 +444,7 @@
     ]
 }
 
-fn fits(slopes: &Slopes) -> String {
+fn fit_table(slopes: &Slopes) -> String {
     let mut text = String::from(
         "### The fits\n\n| series | per | unit | slope | at zero | error | measured up to |\n\
          |---|---|---|---|---|---|---|\n",
--- a/src/bench/checker.rs
+++ b/src/bench/checker.rs
@@ -1,73 +1,73 @@
-//! Checks a history against every promise.
+//! Checks the history of a run against the guarantees of winghold.
 //!
-//! The truth about starts is what the targets noted; the truth about answers
-//! is what callers got. Each broken promise becomes one line that names it.
+//! Compares the answers that callers received with the starts that targets recorded, and
+//! reports each violation as a guarantee and a text.
 
 use std::collections::{HashMap, HashSet};
 
-use crate::bench::history::{ConfigSeen, History, SubmissionRecord};
+use crate::bench::history::{ConfigObservation, History, SubmissionRecord};
 use crate::code::Effect;
 use crate::config::Config;
 use crate::standin::target::StartRecord;
 
-/// A leaving target may start what was on its way for this long.
-pub const LEAVE_GRACE_US: u64 = 3_000_000;
-/// An accepted configuration is in force everywhere after this long.
+/// Time for which a departing target may still start tasks that were in transit.
+pub const DEPARTURE_GRACE_US: u64 = 3_000_000;
+/// Time within which all processes must apply an accepted configuration.
 pub const CONFIG_GRACE_US: u64 = 5_000_000;
-/// An answer comes at most this long after the deadline.
+/// Time after the deadline within which a submission must be answered.
 pub const ANSWER_GRACE_US: u64 = 1_000_000;
 
-/// The promises, as the checker names them.
+/// Guarantees of winghold.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub enum Promise {
+pub enum Guarantee {
     /// No task of a submission starts twice.
     NoDoubleStart,
-    /// What may not be repeated runs at most once.
+    /// A request that is not repeatable runs at most once.
     AtMostOnce,
-    /// An answer is complete or failed.
+    /// A complete answer has the results of all tasks.
     WholeAnswer,
-    /// A caller gets its own answer.
+    /// A caller gets the answer to its own submission.
     OwnAnswer,
-    /// "Not run" is true.
+    /// No task runs after the effect "not run" was reported.
     TrueNotRun,
-    /// A leaving target gets no new work.
+    /// A departing target gets no new tasks.
     LeavingGetsNothing,
-    /// A planned stop cuts nothing in flight.
+    /// A planned stop interrupts no submission.
     PlannedStopCutsNothing,
-    /// A configuration never reverts.
+    /// A process never reverts to an older configuration.
     ConfigNeverReverts,
-    /// A configuration is in force everywhere within seconds.
+    /// An accepted configuration is applied by all processes within the grace period.
     ConfigInForce,
-    /// Every submission is answered before its deadline and a second.
+    /// Every submission is answered within the grace period after its deadline.
     AnsweredInTime,
 }
 
-/// One broken promise.
+/// Violation of a guarantee.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Broken {
-    /// Which.
-    pub promise: Promise,
-    /// How.
+pub struct Violation {
+    /// Violated guarantee.
+    pub guarantee: Guarantee,
+    /// Description.
     pub text: String,
 }
 
-/// Checks a history.
-pub fn check(history: &History, starts: &[StartRecord], config: &Config) -> Vec<Broken> {
+/// Returns all violations in a run.
+pub fn check(history: &History, starts: &[StartRecord], config: &Config) -> Vec<Violation> {
     let by_task = starts_by_task(starts);
     let by_id = starts_by_id(starts);
-    let mut broken = Vec::new();
+    let mut violations = Vec::new();
     for record in history.submissions() {
-        check_starts(&record, &by_task, config, &mut broken);
-        check_answer(&record, &by_task, &mut broken);
-        check_not_run(&record, &by_id, &mut broken);
-        check_time(&record, &mut broken);
-        if history.only_planned() {
-            check_uncut(&record, &mut broken);
+        check_starts(&record, &by_task, config, &mut violations);
+        check_answer(&record, &by_task, &mut violations);
+        check_not_run(&record, &by_id, &mut violations);
+        check_answer_time(&record, &mut violations);
+        if history.has_only_planned_faults() {
+            check_planned_stop(&record, &mut violations);
         }
     }
-    check_leaves(history, starts, &mut broken);
-    check_config(history, &mut broken);
-    broken
+    check_departures(history, starts, &mut violations);
+    check_config(history, &mut violations);
+    violations
 }
 
 type Starts<'s> = HashMap<String, Vec<&'s StartRecord>>;
@@ -89,11 +89,11 @@
     by_id
 }
 
-fn broke(broken: &mut Vec<Broken>, promise: Promise, text: String) {
-    broken.push(Broken { promise, text });
+fn report(violations: &mut Vec<Violation>, guarantee: Guarantee, text: String) {
+    violations.push(Violation { guarantee, text });
 }
 
-fn repeatable(record: &SubmissionRecord, config: &Config) -> bool {
+fn is_repeatable(record: &SubmissionRecord, config: &Config) -> bool {
     let service = config.service(&record.planned.service);
     let kind = service.and_then(|service| service.kind(Some(&record.planned.kind)));
     !record.planned.is_job && kind.is_some_and(|kind| kind.repeatable)
@@ -103,26 +103,30 @@
     record: &SubmissionRecord,
     by_task: &Starts<'_>,
     config: &Config,
-    broken: &mut Vec<Broken>,
+    violations: &mut Vec<Violation>,
 ) {
-    if repeatable(record, config) {
+    if is_repeatable(record, config) {
         return;
     }
-    let promise = match record.planned.is_job {
-        true => Promise::NoDoubleStart,
-        false => Promise::AtMostOnce,
+    let guarantee = match record.planned.is_job {
+        true => Guarantee::NoDoubleStart,
+        false => Guarantee::AtMostOnce,
     };
     for index in 0..record.planned.run_ms.len() {
         let task = format!("{}/{index}", record.id);
         let starts = by_task.get(&task).map_or(0, Vec::len);
         if starts > 1 {
-            broke(broken, promise, format!("{task} started {starts} times"));
+            report(
+                violations,
+                guarantee,
+                format!("{task} started {starts} times"),
+            );
         }
     }
 }
 
-fn check_answer(record: &SubmissionRecord, by_task: &Starts<'_>, broken: &mut Vec<Broken>) {
-    if !record.complete() {
+fn check_answer(record: &SubmissionRecord, by_task: &Starts<'_>, violations: &mut Vec<Violation>) {
+    if !record.is_complete() {
         return;
     }
     let tasks = record.planned.run_ms.len();
@@ -136,19 +140,19 @@
             "{} has {} results, {finished} of {tasks} tasks finished",
             record.id, record.results
         );
-        broke(broken, Promise::WholeAnswer, text);
+        report(violations, Guarantee::WholeAnswer, text);
     }
-    if !record.own_results {
-        broke(
-            broken,
-            Promise::OwnAnswer,
-            format!("{} got another's answer", record.id),
+    if !record.has_own_results {
+        report(
+            violations,
+            Guarantee::OwnAnswer,
+            format!("{} got the answer of another submission", record.id),
         );
     }
 }
 
-/// After "not run", nothing may have started, unless the caller sent it again.
-fn check_not_run(record: &SubmissionRecord, by_id: &Starts<'_>, broken: &mut Vec<Broken>) {
+/// After a "not run" answer no task may have started, unless the caller retried.
+fn check_not_run(record: &SubmissionRecord, by_id: &Starts<'_>, violations: &mut Vec<Violation>) {
     let Some(starts) = by_id.get(&record.id) else {
         return;
     };
@@ -160,75 +164,82 @@
             .attempts
             .get(index + 1)
             .map_or(u64::MAX, |next| next.sent_us);
-        let false_start = starts.iter().find(|start| start.at_us < next_us);
-        if let Some(start) = false_start {
-            let text = format!("{} was not run, and ran as {}", record.id, start.task);
-            broke(broken, Promise::TrueNotRun, text);
+        let contradicting_start = starts.iter().find(|start| start.at_us < next_us);
+        if let Some(start) = contradicting_start {
+            let text = format!(
+                "{} was reported as not run, but {} started",
+                record.id, start.task
+            );
+            report(violations, Guarantee::TrueNotRun, text);
             return;
         }
     }
 }
 
-fn check_time(record: &SubmissionRecord, broken: &mut Vec<Broken>) {
+fn check_answer_time(record: &SubmissionRecord, violations: &mut Vec<Violation>) {
     let deadline_us = record.sent_us + record.planned.deadline.as_micros() as u64;
-    if record.done_us > deadline_us + ANSWER_GRACE_US {
-        let late_ms = (record.done_us - deadline_us) / 1_000;
+    if record.ended_us > deadline_us + ANSWER_GRACE_US {
+        let late_ms = (record.ended_us - deadline_us) / 1_000;
         let text = format!("{} was answered {late_ms} ms after its deadline", record.id);
-        broke(broken, Promise::AnsweredInTime, text);
+        report(violations, Guarantee::AnsweredInTime, text);
     }
 }
 
-fn check_uncut(record: &SubmissionRecord, broken: &mut Vec<Broken>) {
-    if record.complete() || record.cancelled || record.last_effect() == Some(Effect::NotRun) {
+fn check_planned_stop(record: &SubmissionRecord, violations: &mut Vec<Violation>) {
+    if record.is_complete() || record.cancelled || record.last_effect() == Some(Effect::NotRun) {
         return;
     }
-    let text = format!("{} ended as {:?}", record.id, record.last_code());
-    broke(broken, Promise::PlannedStopCutsNothing, text);
+    let text = format!("{} ended with code {:?}", record.id, record.last_code());
+    report(violations, Guarantee::PlannedStopCutsNothing, text);
 }
 
-fn check_leaves(history: &History, starts: &[StartRecord], broken: &mut Vec<Broken>) {
-    for leave in history.leaves() {
+fn check_departures(history: &History, starts: &[StartRecord], violations: &mut Vec<Violation>) {
+    for departure in history.departures() {
         let late = |start: &&StartRecord| {
-            start.target == leave.target
-                && start.at_us > leave.at_us + LEAVE_GRACE_US
-                && start.at_us < leave.until_us
+            start.target == departure.target
+                && start.at_us > departure.at_us + DEPARTURE_GRACE_US
+                && start.at_us < departure.until_us
         };
         for start in starts.iter().filter(late) {
-            let late_ms = (start.at_us - leave.at_us) / 1_000;
-            let text = format!("{} started {} after {late_ms} ms", leave.target, start.task);
-            broke(broken, Promise::LeavingGetsNothing, text);
+            let late_ms = (start.at_us - departure.at_us) / 1_000;
+            let text = format!(
+                "{} started {} {late_ms} ms after its departure",
+                departure.target, start.task
+            );
+            report(violations, Guarantee::LeavingGetsNothing, text);
         }
     }
 }
 
-fn check_config(history: &History, broken: &mut Vec<Broken>) {
-    let mut by_process: HashMap<String, Vec<ConfigSeen>> = HashMap::new();
-    for seen in history.seen() {
+fn check_config(history: &History, violations: &mut Vec<Violation>) {
+    let mut by_process: HashMap<String, Vec<ConfigObservation>> = HashMap::new();
+    for observation in history.observations() {
         by_process
-            .entry(seen.process.clone())
+            .entry(observation.process.clone())
             .or_default()
-            .push(seen);
+            .push(observation);
     }
-    for (process, seen) in &by_process {
-        for pair in seen.windows(2) {
+    for (process, observations) in &by_process {
+        for pair in observations.windows(2) {
             if pair[1].revision < pair[0].revision {
                 let text = format!(
-                    "{process} went from {} to {}",
+                    "{process} went from revision {} to {}",
                     pair[0].revision, pair[1].revision
                 );
-                broke(broken, Promise::ConfigNeverReverts, text);
+                report(violations, Guarantee::ConfigNeverReverts, text);
             }
         }
     }
     let mut late = HashSet::new();
-    for accepted in history.changes() {
-        let stale = history.seen().into_iter().filter(|seen| {
-            seen.at_us > accepted.at_us + CONFIG_GRACE_US && seen.revision < accepted.revision
+    for change in history.changes() {
+        let outdated = history.observations().into_iter().filter(|observation| {
+            observation.at_us > change.at_us + CONFIG_GRACE_US
+                && observation.revision < change.revision
         });
-        late.extend(stale.map(|seen| (seen.process, accepted.revision)));
+        late.extend(outdated.map(|observation| (observation.process, change.revision)));
     }
     for (process, revision) in late {
-        let text = format!("{process} did not have {revision} in force in time");
-        broke(broken, Promise::ConfigInForce, text);
+        let text = format!("{process} did not apply revision {revision} in time");
+        report(violations, Guarantee::ConfigInForce, text);
     }
 }
--- a/src/bench/fault.rs
+++ b/src/bench/fault.rs
@@ -1,4 +1,4 @@
-//! Faults of a run: when each begins and ends, and what it does.
+//! Injects faults into a local fleet during a bench run.
 
 use std::time::Duration;
 
@@ -6,7 +6,7 @@
 use serde_json::json;
 
 use crate::bench::caller::Callers;
-use crate::bench::history::{ConfigAccepted, ConfigSeen, History, Leave};
+use crate::bench::history::{ConfigChange, ConfigObservation, Departure, History};
 use crate::client::EntryClient;
 use crate::error::Result;
 use crate::local::Local;
@@ -14,34 +14,34 @@
 use crate::standin::target::TargetFaults;
 use crate::time::micros;
 
-/// Agent that faults fall on.
-const VICTIM: usize = 1;
-/// A second one, for pairs of the same sort.
-const OTHER_VICTIM: usize = 4;
-/// Entry that faults fall on.
+/// Index of the agent that the first fault affects.
+const FIRST_AGENT: usize = 1;
+/// Index of the agent that further faults affect.
+const SECOND_AGENT: usize = 4;
+/// Index of the entry that faults affect.
 const ENTRY: usize = 1;
-/// How long a paused agent does nothing; longer than its lease.
-const PAUSE: Duration = Duration::from_secs(5);
-/// How often revisions are looked at.
-const LOOK: Duration = Duration::from_millis(500);
-/// Share of open submissions that a wave cancels.
-const WAVE_PERCENT: usize = 30;
-/// How much slower a straggler is.
-const SLOWDOWN: f64 = 8.0;
+/// Duration of an agent's pause; longer than its lease.
+const PAUSE_DURATION: Duration = Duration::from_secs(5);
+/// Interval at which configuration revisions are recorded.
+const OBSERVATION_INTERVAL: Duration = Duration::from_millis(500);
+/// Percentage of open submissions that are cancelled.
+const CANCEL_PERCENT: usize = 30;
+/// Slowdown factor of a straggler.
+const STRAGGLER_SLOWDOWN: f64 = 8.0;
 
 macro_rules! faults {
     ($($(#[doc = $doc:literal])* $variant:ident = $name:literal,)*) => {
-        /// A fault.
+        /// A fault that a bench can inject.
         #[derive(Clone, Copy, Debug, PartialEq, Eq)]
         pub enum Fault {
             $($(#[doc = $doc])* $variant,)*
         }
 
         impl Fault {
-            /// Every fault.
+            /// All faults.
             pub const ALL: &'static [Fault] = &[$(Fault::$variant,)*];
 
-            /// Its name on the command line.
+            /// Name on the command line.
             pub fn name(self) -> &'static str {
                 match self { $(Fault::$variant => $name,)* }
             }
@@ -50,38 +50,38 @@
 }
 
 faults! {
-    /// A target stops answering and takes no connection.
+    /// A target stops answering and accepts no connections.
     WorkerDies = "worker-dies",
-    /// An agent is killed; a new one starts later.
+    /// An agent is killed and later restarted.
     AgentDies = "agent-dies",
-    /// An entry is killed; a new one starts later.
+    /// An entry is killed and later restarted.
     EntryDies = "entry-dies",
-    /// The store answers nothing.
+    /// The store does not answer.
     StoreDown = "store-down",
-    /// The store takes long.
+    /// The store answers slowly.
     StoreSlow = "store-slow",
-    /// Some writes take effect and are not answered.
+    /// Some writes take effect but are not answered.
     AnswersLost = "answers-lost",
-    /// An agent does nothing for longer than its lease.
+    /// An agent is paused for longer than its lease.
     Pause = "pause",
     /// An operator drains a target.
     Drain = "drain",
-    /// An agent is told to stop.
+    /// An agent is shut down.
     AgentStops = "agent-stops",
-    /// An entry is told to stop.
+    /// An entry is shut down.
     EntryStops = "entry-stops",
     /// A target becomes slow.
     Straggler = "straggler",
     /// A target fails every task.
     FailEverything = "fail-everything",
-    /// Callers cancel much at once.
+    /// Callers cancel many submissions at the same time.
     CancelWave = "cancel-wave",
-    /// Operators change the configuration, two at once.
+    /// Two operators change the configuration at the same time.
     OperatorRace = "operator-race",
 }
 
 impl Fault {
-    /// The fault named `name`.
+    /// Finds a fault by its command-line name.
     pub fn from_name(name: &str) -> Option<Fault> {
         Fault::ALL
             .iter()
@@ -89,7 +89,7 @@
             .find(|fault| fault.name() == name)
     }
 
-    /// Whether it is planned, so that it may cut nothing.
+    /// Whether the fault is a planned operation, which must not interrupt submissions.
     pub fn is_planned(self) -> bool {
         matches!(
             self,
@@ -98,7 +98,7 @@
     }
 }
 
-/// The faults of one run.
+/// Faults of a run.
 pub struct Faults {
     faults: Vec<Fault>,
     length: Duration,
@@ -106,7 +106,7 @@
 }
 
 impl Faults {
-    /// Faults that begin after a third of `length` and end after two.
+    /// Creates faults that last from one third to two thirds of `length`.
     pub fn new(faults: Vec<Fault>, length: Duration, document: &str) -> Faults {
         Faults {
             faults,
@@ -115,7 +115,7 @@
         }
     }
 
-    /// Lets them happen.
+    /// Injects the faults and records configuration revisions.
     pub async fn run(
         &mut self,
         fleet: &mut Local,
@@ -123,29 +123,29 @@
         history: &History,
     ) -> Result<()> {
         let planned = self.faults.iter().all(|fault| fault.is_planned());
-        history.set_only_planned(planned);
+        history.set_only_planned_faults(planned);
         let third = self.length / 3;
-        self.watch_until(fleet, history, third).await;
+        self.observe_revisions(fleet, history, third).await;
         for index in 0..self.faults.len() {
             self.begin(index, fleet, callers, history).await?;
         }
-        self.watch_until(fleet, history, third).await;
+        self.observe_revisions(fleet, history, third).await;
         for index in 0..self.faults.len() {
             self.end(index, fleet, history).await?;
         }
-        self.watch_until(fleet, history, third).await;
+        self.observe_revisions(fleet, history, third).await;
         Ok(())
     }
 
-    /// Notes revisions in force for `span`.
-    async fn watch_until(&self, fleet: &Local, history: &History, span: Duration) {
+    /// Records the configuration revisions of all processes for `span`.
+    async fn observe_revisions(&self, fleet: &Local, history: &History, span: Duration) {
         let until_us = fleet.timer.now().after(span);
         while fleet.timer.now().mono_us < until_us {
-            let left = fleet.timer.now().left(until_us);
-            fleet.timer.sleep(left.min(LOOK)).await;
+            let left = fleet.timer.now().remaining(until_us);
+            fleet.timer.sleep(left.min(OBSERVATION_INTERVAL)).await;
             let at_us = fleet.timer.now().mono_us;
             for host in fleet.hosts() {
-                history.saw(ConfigSeen {
+                history.record_observation(ConfigObservation {
                     process: host.run_name(),
                     revision: host.message_counters.config_revision(),
                     at_us,
@@ -154,10 +154,13 @@
         }
     }
 
-    /// The victim of the fault at `index`: two faults of one run fall on
-    /// different agents.
-    fn victim(index: usize) -> usize {
-        if index == 0 { VICTIM } else { OTHER_VICTIM }
+    /// Index of the agent that the fault at `index` affects.
+    fn affected_agent(index: usize) -> usize {
+        if index == 0 {
+            FIRST_AGENT
+        } else {
+            SECOND_AGENT
+        }
     }
 
     async fn begin(
@@ -167,56 +170,60 @@
         callers: &Callers,
         history: &History,
     ) -> Result<()> {
-        let victim = Faults::victim(index);
+        let agent = Faults::affected_agent(index);
         match self.faults[index] {
-            Fault::WorkerDies => target_faults(fleet, victim, |faults| faults.dead = true),
-            Fault::AgentDies => fleet.agents[victim].host.kill(),
+            Fault::WorkerDies => set_target_faults(fleet, agent, |faults| faults.dead = true),
+            Fault::AgentDies => fleet.agents[agent].host.kill(),
             Fault::EntryDies => fleet.entries[ENTRY].kill(),
-            Fault::StoreDown => store_faults(fleet, |faults| faults.down = true),
-            Fault::StoreSlow => store_faults(fleet, |faults| faults.slow_ms = 300),
-            Fault::AnswersLost => store_faults(fleet, |faults| faults.lose_answers_percent = 50),
-            Fault::Pause => fleet.agents[victim].host.freeze(PAUSE),
-            Fault::Drain => drain(fleet, victim, history, true).await?,
+            Fault::StoreDown => change_store_faults(fleet, |faults| faults.down = true),
+            Fault::StoreSlow => change_store_faults(fleet, |faults| faults.slow_ms = 300),
+            Fault::AnswersLost => {
+                change_store_faults(fleet, |faults| faults.lose_answers_percent = 50)
+            }
+            Fault::Pause => fleet.agents[agent].host.freeze(PAUSE_DURATION),
+            Fault::Drain => set_drained(fleet, agent, history, true).await?,
             Fault::AgentStops => {
-                note_leave(fleet, victim, history, self.length / 3);
-                fleet.agents[victim].host.stop();
+                record_departure(fleet, agent, history, self.length / 3);
+                fleet.agents[agent].host.stop();
             }
             Fault::EntryStops => fleet.entries[ENTRY].stop(),
             Fault::Straggler => {
-                target_faults(fleet, victim, |faults| faults.slowdown = SLOWDOWN);
+                set_target_faults(fleet, agent, |faults| faults.slowdown = STRAGGLER_SLOWDOWN);
             }
             Fault::FailEverything => {
-                target_faults(fleet, victim, |faults| faults.fails_everything = true);
+                set_target_faults(fleet, agent, |faults| faults.fails_everything = true);
             }
-            Fault::CancelWave => callers.cancel_some(WAVE_PERCENT).await,
-            Fault::OperatorRace => self.race(fleet, history).await?,
+            Fault::CancelWave => callers.cancel_some(CANCEL_PERCENT).await,
+            Fault::OperatorRace => self.race_config_changes(fleet, history).await?,
         }
         Ok(())
     }
 
     async fn end(&self, index: usize, fleet: &mut Local, history: &History) -> Result<()> {
-        let victim = Faults::victim(index);
+        let agent = Faults::affected_agent(index);
         match self.faults[index] {
             Fault::WorkerDies | Fault::Straggler | Fault::FailEverything => {
-                target_faults(fleet, victim, |faults| *faults = TargetFaults::default());
+                set_target_faults(fleet, agent, |faults| *faults = TargetFaults::default());
             }
-            Fault::AgentDies => fleet.restart_agent(victim)?,
-            Fault::AgentStops if fleet.agents[victim].host.ended() => {
-                fleet.restart_agent(victim)?;
+            Fault::AgentDies => fleet.restart_agent(agent)?,
+            Fault::AgentStops if fleet.agents[agent].host.ended() => {
+                fleet.restart_agent(agent)?;
             }
             Fault::EntryDies => fleet.restart_entry(ENTRY)?,
             Fault::EntryStops if fleet.entries[ENTRY].ended() => fleet.restart_entry(ENTRY)?,
-            Fault::StoreDown => store_faults(fleet, |faults| faults.down = false),
-            Fault::StoreSlow => store_faults(fleet, |faults| faults.slow_ms = 0),
-            Fault::AnswersLost => store_faults(fleet, |faults| faults.lose_answers_percent = 0),
-            Fault::Drain => drain(fleet, victim, history, false).await?,
+            Fault::StoreDown => change_store_faults(fleet, |faults| faults.down = false),
+            Fault::StoreSlow => change_store_faults(fleet, |faults| faults.slow_ms = 0),
+            Fault::AnswersLost => {
+                change_store_faults(fleet, |faults| faults.lose_answers_percent = 0)
+            }
+            Fault::Drain => set_drained(fleet, agent, history, false).await?,
             _ => {}
         }
         Ok(())
     }
 
-    /// Two operators change the same revision; one of them must win.
-    async fn race(&self, fleet: &Local, history: &History) -> Result<()> {
+    /// Two operators change the same revision concurrently; only one may succeed.
+    async fn race_config_changes(&self, fleet: &Local, history: &History) -> Result<()> {
         let clients = [0, 2].map(|index| EntryClient::new(fleet.entries[index].addr));
         let read = clients[0]
             .call(Method::GET, "/v1/operator/config", &[], "")
@@ -229,15 +236,15 @@
                 .to_string()
         };
         let path = "/v1/operator/config";
-        let [one, two] = [("ana", &clients[0]), ("luis", &clients[1])]
+        let [first, second] = [("ana", &clients[0]), ("luis", &clients[1])]
             .map(|(who, client)| client.call(Method::PUT, path, &[], body(who)));
-        let (one, two) = tokio::join!(one, two);
-        for reply in [one, two]
+        let (first, second) = tokio::join!(first, second);
+        for reply in [first, second]
             .into_iter()
             .flatten()
             .filter(|reply| reply.status == 200)
         {
-            history.accepted(ConfigAccepted {
+            history.record_change(ConfigChange {
                 revision: reply.json()["revision"].as_u64().unwrap_or(0),
                 at_us: fleet.timer.now().mono_us,
             });
@@ -246,29 +253,29 @@
     }
 }
 
-fn store_faults(fleet: &Local, change: impl FnOnce(&mut StoreFaults)) {
+fn change_store_faults(fleet: &Local, change: impl FnOnce(&mut StoreFaults)) {
     let mut faults = fleet.store.faults();
     change(&mut faults);
     fleet.store.set_faults(faults);
 }
 
-fn target_faults(fleet: &Local, victim: usize, change: impl FnOnce(&mut TargetFaults)) {
+fn set_target_faults(fleet: &Local, agent: usize, change: impl FnOnce(&mut TargetFaults)) {
     let mut faults = TargetFaults::default();
     change(&mut faults);
-    fleet.agents[victim].target.set_faults(faults);
+    fleet.agents[agent].target.set_faults(faults);
 }
 
-fn note_leave(fleet: &Local, victim: usize, history: &History, span: Duration) {
+fn record_departure(fleet: &Local, agent: usize, history: &History, span: Duration) {
     let now = fleet.timer.now();
-    history.left(Leave {
-        target: fleet.agents[victim].host.name.clone(),
+    history.record_departure(Departure {
+        target: fleet.agents[agent].host.name.clone(),
         at_us: now.mono_us,
         until_us: now.mono_us + micros(span),
     });
 }
 
-async fn drain(fleet: &Local, victim: usize, history: &History, drained: bool) -> Result<()> {
-    let target = fleet.agents[victim].host.name.clone();
+async fn set_drained(fleet: &Local, agent: usize, history: &History, drained: bool) -> Result<()> {
+    let target = fleet.agents[agent].host.name.clone();
     let verb = if drained { "drain" } else { "undrain" };
     let path = format!("/v1/operator/targets/{target}/{verb}");
     let change_id = format!("{verb}-{target}-{}", fleet.timer.now().wall_ms);
@@ -280,15 +287,15 @@
     }
     let at_us = fleet.timer.now().mono_us;
     let revision = reply.json()["revision"].as_u64().unwrap_or(0);
-    history.accepted(ConfigAccepted { revision, at_us });
+    history.record_change(ConfigChange { revision, at_us });
     if drained {
-        history.left(Leave {
+        history.record_departure(Departure {
             target,
             at_us,
             until_us: u64::MAX,
         });
     } else {
-        history.returned(&target, at_us);
+        history.record_return(&target, at_us);
     }
     Ok(())
 }
--- a/src/bench/history.rs
+++ b/src/bench/history.rs
@@ -1,102 +1,102 @@
-//! What happened in a run, as callers and operators saw it.
+//! Records the events of a run as observed by callers and operators.
 
 use std::collections::HashMap;
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
-use crate::bench::workload::Planned;
+use crate::bench::workload::PlannedSubmission;
 use crate::code::Effect;
 
-/// One try of a submission.
+/// An attempt to send a submission.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Attempt {
-    /// When it was sent, in monotonic microseconds.
+    /// Time at which it was sent, in monotonic microseconds.
     pub sent_us: u64,
-    /// When its answer came.
+    /// Time at which it was answered or timed out, in monotonic microseconds.
     pub answered_us: u64,
-    /// Name of the result code; empty if no answer came.
+    /// Name of the result code; empty if there was no answer.
     pub code: String,
-    /// What the answer said about execution, if it came.
+    /// Effect in the answer, if there was one.
     pub effect: Option<Effect>,
 }
 
-/// One submission as its caller saw it.
+/// Submission as observed by its caller.
 #[derive(Clone, Debug)]
 pub struct SubmissionRecord {
-    /// Its id.
+    /// Submission id.
     pub id: String,
-    /// What was planned.
-    pub planned: Planned,
-    /// When it was first sent.
+    /// The planned submission.
+    pub planned: PlannedSubmission,
+    /// Time of the first attempt, in monotonic microseconds.
     pub sent_us: u64,
-    /// When its caller was done with it.
-    pub done_us: u64,
-    /// Its tries.
+    /// Time at which the caller finished, in monotonic microseconds.
+    pub ended_us: u64,
+    /// Attempts in order.
     pub attempts: Vec<Attempt>,
-    /// Results in its answer, if complete.
+    /// Number of results in a complete answer.
     pub results: usize,
-    /// Whether every result was that of its own task.
-    pub own_results: bool,
-    /// Whether its caller cancelled it.
+    /// Whether every result belongs to the matching task.
+    pub has_own_results: bool,
+    /// Whether the submission was cancelled.
     pub cancelled: bool,
 }
 
 impl SubmissionRecord {
-    /// Whether it has its whole answer.
-    pub fn complete(&self) -> bool {
+    /// Whether the answer is complete.
+    pub fn is_complete(&self) -> bool {
         self.last_code() == "COMPLETE"
     }
 
-    /// The code of its last try.
+    /// Result code of the last attempt.
     pub fn last_code(&self) -> &str {
         self.attempts
             .last()
             .map_or("", |attempt| attempt.code.as_str())
     }
 
-    /// What its last try said about execution.
+    /// Effect reported by the last attempt.
     pub fn last_effect(&self) -> Option<Effect> {
         self.attempts.last().and_then(|attempt| attempt.effect)
     }
 }
 
-/// A target that was told to leave.
+/// Departure of a target, by a shutdown or a drain.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Leave {
+pub struct Departure {
     /// Name of the target.
     pub target: String,
-    /// When, in monotonic microseconds.
+    /// Time in monotonic microseconds.
     pub at_us: u64,
-    /// When it may take work again.
+    /// Time from which the target may get tasks again.
     pub until_us: u64,
 }
 
-/// A revision that a process had in force.
+/// Configuration revision that a process used.
 #[derive(Clone, Debug, PartialEq)]
-pub struct ConfigSeen {
-    /// The process.
+pub struct ConfigObservation {
+    /// Name of the process.
     pub process: String,
     /// The revision.
     pub revision: u64,
-    /// When, in monotonic microseconds.
+    /// Time in monotonic microseconds.
     pub at_us: u64,
 }
 
 /// An accepted change of the configuration.
 #[derive(Clone, Debug, PartialEq)]
-pub struct ConfigAccepted {
+pub struct ConfigChange {
     /// The revision.
     pub revision: u64,
-    /// When, in monotonic microseconds.
+    /// Time in monotonic microseconds.
     pub at_us: u64,
 }
 
 #[derive(Debug, Default)]
 struct Events {
     submissions: HashMap<String, SubmissionRecord>,
-    leaves: Vec<Leave>,
-    seen: Vec<ConfigSeen>,
-    accepted: Vec<ConfigAccepted>,
-    only_planned: bool,
+    departures: Vec<Departure>,
+    observations: Vec<ConfigObservation>,
+    changes: Vec<ConfigChange>,
+    only_planned_faults: bool,
 }
 
 /// The history of a run.
@@ -110,44 +110,44 @@
         self.events.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Notes a submission that its caller is done with.
-    pub fn done(&self, record: SubmissionRecord) {
+    /// Records a finished submission.
+    pub fn record_submission(&self, record: SubmissionRecord) {
         self.events().submissions.insert(record.id.clone(), record);
     }
 
-    /// Notes a leaving target.
-    pub fn left(&self, leave: Leave) {
-        self.events().leaves.push(leave);
+    /// Records the departure of a target.
+    pub fn record_departure(&self, departure: Departure) {
+        self.events().departures.push(departure);
     }
 
-    /// Notes that a target may take work again.
-    pub fn returned(&self, target: &str, at_us: u64) {
+    /// Records that a target may get tasks again.
+    pub fn record_return(&self, target: &str, at_us: u64) {
         let mut events = self.events();
-        let leaves = events
-            .leaves
+        let departures = events
+            .departures
             .iter_mut()
-            .filter(|leave| leave.target == target);
-        leaves.for_each(|leave| leave.until_us = leave.until_us.min(at_us));
+            .filter(|departure| departure.target == target);
+        departures.for_each(|departure| departure.until_us = departure.until_us.min(at_us));
     }
 
-    /// Notes a revision that a process had in force.
-    pub fn saw(&self, seen: ConfigSeen) {
-        self.events().seen.push(seen);
+    /// Records the configuration revision of a process.
+    pub fn record_observation(&self, observation: ConfigObservation) {
+        self.events().observations.push(observation);
     }
 
-    /// Notes an accepted change.
-    pub fn accepted(&self, accepted: ConfigAccepted) {
-        self.events().accepted.push(accepted);
+    /// Records an accepted configuration change.
+    pub fn record_change(&self, change: ConfigChange) {
+        self.events().changes.push(change);
     }
 
-    /// Says that nothing but planned stops and drains happens in this run.
-    pub fn set_only_planned(&self, only: bool) {
-        self.events().only_planned = only;
+    /// Sets whether all faults of this run are planned operations.
+    pub fn set_only_planned_faults(&self, only_planned: bool) {
+        self.events().only_planned_faults = only_planned;
     }
 
-    /// Whether nothing but planned stops and drains happened.
-    pub fn only_planned(&self) -> bool {
-        self.events().only_planned
+    /// Whether all faults of this run are planned operations.
+    pub fn has_only_planned_faults(&self) -> bool {
+        self.events().only_planned_faults
     }
 
     /// All submissions.
@@ -155,18 +155,18 @@
         self.events().submissions.values().cloned().collect()
     }
 
-    /// All leaves.
-    pub fn leaves(&self) -> Vec<Leave> {
-        self.events().leaves.clone()
+    /// All departures.
+    pub fn departures(&self) -> Vec<Departure> {
+        self.events().departures.clone()
     }
 
-    /// All revisions seen, in order.
-    pub fn seen(&self) -> Vec<ConfigSeen> {
-        self.events().seen.clone()
+    /// All observed configuration revisions, in order.
+    pub fn observations(&self) -> Vec<ConfigObservation> {
+        self.events().observations.clone()
     }
 
-    /// All accepted changes.
-    pub fn changes(&self) -> Vec<ConfigAccepted> {
-        self.events().accepted.clone()
+    /// All accepted configuration changes.
+    pub fn changes(&self) -> Vec<ConfigChange> {
+        self.events().changes.clone()
     }
 }
--- a/src/bench/mod.rs
+++ b/src/bench/mod.rs
@@ -1,8 +1,8 @@
-//! `winghold bench`: load on a local fleet, faults, a checker and a report.
+//! `winghold bench`: puts load on a local fleet, injects faults, checks guarantees and reports
+//! response times and costs.
 //!
-//! Every policy that is compared runs in the same process one after the other,
-//! with the same seed and so the same submissions at the same times. Callers
-//! are an open loop: they do not wait for each other.
+//! Policies are compared one after the other in the same process. The seed fixes the
+//! submissions and their times. The load is an open loop.
 
 pub mod caller;
 pub mod capacity;
@@ -32,35 +32,35 @@
 use usage::Usage;
 use workload::Workload;
 
-/// What a bench runs.
+/// Options of a bench.
 #[derive(Clone, Debug)]
 pub struct BenchOptions {
-    /// The configuration, with loads.
+    /// Configuration document with bench loads.
     pub document: String,
-    /// Share of the slots that the load needs.
+    /// Fraction of the slots that the load occupies.
     pub load: f64,
-    /// Length of the load.
+    /// Duration of the load.
     pub length: Duration,
     /// Policies to compare.
     pub policies: Vec<Placement>,
-    /// Faults, all at once.
+    /// Faults, injected at the same time.
     pub faults: Vec<Fault>,
     /// Seed of the load.
     pub seed: u64,
-    /// Targets.
+    /// Number of targets.
     pub targets: usize,
-    /// Level of the fleet's log.
+    /// Log level of the fleet.
     pub log: LogLevel,
 }
 
-/// Queue of a target under a baseline; never full.
-const PLAIN_QUEUE: usize = 100_000;
+/// Queue length of targets under a baseline policy, which never rejects tasks.
+const BASELINE_QUEUE: usize = 100_000;
 /// One-way delay between failure domains.
 const DOMAIN_DELAY: Duration = Duration::from_micros(500);
 /// One-way delay between callers and entries.
 pub const CALLER_DELAY: Duration = Duration::from_millis(3);
 
-/// Runs every policy and collects the reports.
+/// Runs all policies and collects their reports.
 pub fn run(options: &BenchOptions) -> Result<Report> {
     let runs: Result<Vec<RunReport>> = options
         .policies
@@ -85,7 +85,7 @@
     let mut config = Config::from_yaml(&options.document)?;
     config.policy.placement = policy;
     if !policy.binds_late() {
-        make_plain(&mut config.policy);
+        apply_baseline_policy(&mut config.policy);
     }
     let document =
         serde_yaml_ng::to_string(&config).map_err(|err| Error::Other(err.to_string()))?;
@@ -108,11 +108,11 @@
     runtime.block_on(measure(options, policy, &document, fleet, workload, slots))
 }
 
-/// A baseline places and queues, nothing else.
-fn make_plain(policy: &mut Policy) {
+/// Disables features that a baseline policy does not use.
+fn apply_baseline_policy(policy: &mut Policy) {
     policy.reserved_slots = 0;
     policy.urgent_redirects = 0;
-    policy.target_queue = PLAIN_QUEUE;
+    policy.target_queue = BASELINE_QUEUE;
 }
 
 async fn measure(
@@ -132,17 +132,17 @@
     let started = fleet.timer.now();
     let load = tokio::spawn(callers.clone().run(workload.clone()));
     let mut faults = Faults::new(options.faults.clone(), options.length, document);
-    let ended = faults.run(&mut fleet, &callers, &history).await;
+    let faults_result = faults.run(&mut fleet, &callers, &history).await;
     load.await.map_err(|err| Error::Other(err.to_string()))?;
-    ended?;
+    faults_result?;
     let seconds = fleet.timer.now().mono_us.saturating_sub(started.mono_us) as f64 / 1e6;
     let messages = fleet.messages().since(before);
     let calls = fleet.store.calls().since(calls_before);
     let usage = Usage::read().since(&usage_before);
     let starts = fleet.starts.all();
     let submissions = history.submissions();
-    let verdict = check(&history, &starts, &Config::from_yaml(document)?);
-    let report = RunReport::new(policy, &submissions, slots, &verdict);
+    let violations = check(&history, &starts, &Config::from_yaml(document)?);
+    let report = RunReport::new(policy, &submissions, slots, &violations);
     let report = report.with_starts(&submissions, &starts);
     let report = report.with_costs(messages, calls, usage, seconds, options.targets, &starts);
     tokio::task::spawn_blocking(move || fleet.stop())
--- a/src/bench/report.rs
+++ b/src/bench/report.rs
@@ -1,4 +1,4 @@
-//! What a run shows, as a table and as JSON.
+//! Report of a bench, as a table and as JSON.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -6,7 +6,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::bench::CALLER_DELAY;
-use crate::bench::checker::Broken;
+use crate::bench::checker::Violation;
 use crate::bench::history::SubmissionRecord;
 use crate::bench::usage::Usage;
 use crate::config::Placement;
@@ -14,17 +14,17 @@
 use crate::standin::store::StoreCalls;
 use crate::standin::target::StartRecord;
 
-/// Ratios are kept in thousandths.
-const SCALE: f64 = 1_000.0;
-/// Highest ratio that the histogram tells apart.
-const HIGHEST: u64 = 10_000_000;
-/// Broken promises that are written out.
-const BROKEN_SHOWN: usize = 12;
+/// Scale of ratios in the histogram.
+const RATIO_SCALE: f64 = 1_000.0;
+/// Maximum scaled ratio in the histogram.
+const MAX_SCALED_RATIO: u64 = 10_000_000;
+/// Maximum number of violations in a report.
+const MAX_BROKEN_EXAMPLES: usize = 12;
 
-/// Response time against the ideal.
+/// Distribution of the ratio of response time to ideal time.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Ratios {
-    /// Complete answers.
+    /// Number of values.
     pub count: u64,
     /// Median.
     pub p50: f64,
@@ -32,95 +32,96 @@
     pub p99: f64,
     /// 99.9th percentile.
     pub p999: f64,
-    /// Largest.
+    /// Maximum.
     pub max: f64,
 }
 
-/// Costs of a run.
+/// Resource usage of a run.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Costs {
     /// Messages between processes.
     pub messages: MessageCounts,
     /// Calls to the store.
     pub store: StoreCalls,
-    /// Tasks that ran to their end.
+    /// Number of finished tasks.
     pub finished_tasks: u64,
-    /// Control and void messages and store calls for each finished task.
+    /// Control messages, void messages and store calls per finished task.
     pub wasted_per_task: f64,
-    /// Of these, void messages only.
+    /// Void messages per finished task.
     pub void_per_task: f64,
-    /// All messages for each finished task.
+    /// All messages per finished task.
     pub messages_per_task: f64,
-    /// Calls to the store a second.
+    /// Store calls per second.
     pub store_calls_per_second: f64,
-    /// Processor share of an entry, in percent of a core.
+    /// CPU usage of an entry in percent of a core.
     pub entry_cpu_percent: f64,
-    /// Processor share of an agent, in percent of a core.
+    /// CPU usage of an agent in percent of a core.
     pub agent_cpu_percent: f64,
-    /// Resident memory of the whole bench in megabytes.
+    /// Resident memory of the bench process in megabytes.
     pub memory_mb: f64,
 }
 
-/// One policy's run.
+/// Report of a policy's run.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct RunReport {
-    /// How targets were chosen.
+    /// Placement policy.
     pub policy: Placement,
-    /// Submissions.
+    /// Number of submissions.
     pub submissions: u64,
-    /// Final result codes, counted.
+    /// Number of submissions by final result code.
     pub codes: BTreeMap<String, u64>,
-    /// Ratios of requests of 50 ms and more.
+    /// Ratios of requests with a run time of at least 50 ms.
     pub requests: Ratios,
     /// Ratios of jobs.
     pub jobs: Ratios,
     /// Ratios by kind.
     pub kinds: BTreeMap<String, Ratios>,
-    /// Milliseconds from a request's sending to its start: median and p99.
+    /// Time from sending a request to its start, in milliseconds.
     pub start_delay_ms: Ratios,
-    /// Number of broken promises.
+    /// Number of violated guarantees.
     pub broken: u64,
-    /// Some of them.
+    /// Descriptions of the first violations.
     pub broken_examples: Vec<String>,
-    /// What it cost.
+    /// Resource usage.
     pub costs: Costs,
 }
 
-/// A whole bench.
+/// Report of a bench.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Report {
-    /// Share of the slots that the load needs.
+    /// Fraction of the slots that the load occupies.
     pub load: f64,
-    /// Length of the load.
+    /// Duration of the load in seconds.
     pub seconds: f64,
     /// Seed of the load.
     pub seed: u64,
-    /// Targets.
+    /// Number of targets.
     pub targets: usize,
-    /// Faults.
+    /// Names of the faults.
     pub faults: Vec<String>,
-    /// One run for each policy.
+    /// One report per policy.
     pub runs: Vec<RunReport>,
 }
 
-struct Recorder {
+struct RatioHistogram {
     histogram: Histogram<u64>,
 }
 
-impl Recorder {
-    fn new() -> Recorder {
-        let histogram = Histogram::new_with_bounds(1, HIGHEST, 3);
-        Recorder {
-            histogram: histogram.expect("the bounds are constants that fit"),
+impl RatioHistogram {
+    fn new() -> RatioHistogram {
+        let histogram = Histogram::new_with_bounds(1, MAX_SCALED_RATIO, 3);
+        RatioHistogram {
+            histogram: histogram.expect("the constant bounds are valid"),
         }
     }
 
     fn record(&mut self, ratio: f64) {
-        self.histogram.saturating_record((ratio * SCALE) as u64);
+        self.histogram
+            .saturating_record((ratio * RATIO_SCALE) as u64);
     }
 
     fn ratios(&self) -> Ratios {
-        let at = |quantile: f64| self.histogram.value_at_quantile(quantile) as f64 / SCALE;
+        let at = |quantile: f64| self.histogram.value_at_quantile(quantile) as f64 / RATIO_SCALE;
         if self.histogram.is_empty() {
             return Ratios::default();
         }
@@ -129,50 +130,50 @@
             p50: at(0.5),
             p99: at(0.99),
             p999: at(0.999),
-            max: self.histogram.max() as f64 / SCALE,
+            max: self.histogram.max() as f64 / RATIO_SCALE,
         }
     }
 }
 
-/// Milliseconds that a submission needs on an idle fleet: its tasks perfectly
-/// packed on all slots, and the way to and from its caller.
+/// Response time in milliseconds on an idle fleet, with tasks packed perfectly on all slots and
+/// the network delay to and from the caller.
 fn ideal_ms(record: &SubmissionRecord, slots: u32) -> f64 {
     let run_ms = &record.planned.run_ms;
-    let longest = run_ms.iter().copied().fold(0.0, f64::max);
-    let packed = run_ms.iter().sum::<f64>() / f64::from(slots);
-    longest.max(packed) + 2.0 * CALLER_DELAY.as_secs_f64() * 1_000.0
+    let longest_ms = run_ms.iter().copied().fold(0.0, f64::max);
+    let packed_ms = run_ms.iter().sum::<f64>() / f64::from(slots);
+    longest_ms.max(packed_ms) + 2.0 * CALLER_DELAY.as_secs_f64() * 1_000.0
 }
 
 fn ratio(record: &SubmissionRecord, slots: u32) -> f64 {
-    let took_ms = record.done_us.saturating_sub(record.sent_us) as f64 / 1_000.0;
-    took_ms / ideal_ms(record, slots)
+    let elapsed_ms = record.ended_us.saturating_sub(record.sent_us) as f64 / 1_000.0;
+    elapsed_ms / ideal_ms(record, slots)
 }
 
 impl RunReport {
-    /// What callers saw.
+    /// Creates a report from the callers' submissions.
     pub fn new(
         policy: Placement,
         submissions: &[SubmissionRecord],
         slots: u32,
-        broken: &[Broken],
+        violations: &[Violation],
     ) -> RunReport {
         let mut codes: BTreeMap<String, u64> = BTreeMap::new();
-        let (mut requests, mut jobs) = (Recorder::new(), Recorder::new());
-        let mut kinds: BTreeMap<String, Recorder> = BTreeMap::new();
+        let (mut requests, mut jobs) = (RatioHistogram::new(), RatioHistogram::new());
+        let mut kinds: BTreeMap<String, RatioHistogram> = BTreeMap::new();
         for record in submissions {
             let code = match record.last_code() {
                 "" => "NO_ANSWER",
                 code => code,
             };
             *codes.entry(code.to_string()).or_default() += 1;
-            if !record.complete() {
+            if !record.is_complete() {
                 continue;
             }
             let ratio = ratio(record, slots);
             let kind = record.planned.kind.to_string();
             kinds
                 .entry(kind)
-                .or_insert_with(Recorder::new)
+                .or_insert_with(RatioHistogram::new)
                 .record(ratio);
             match record.planned.is_job {
                 true => jobs.record(ratio),
@@ -180,7 +181,8 @@
                 false => {}
             }
         }
-        let example = |one: &Broken| format!("{:?}: {}", one.promise, one.text);
+        let example =
+            |violation: &Violation| format!("{:?}: {}", violation.guarantee, violation.text);
         RunReport {
             policy,
             submissions: submissions.len() as u64,
@@ -189,16 +191,20 @@
             jobs: jobs.ratios(),
             kinds: kinds
                 .iter()
-                .map(|(kind, one)| (kind.clone(), one.ratios()))
+                .map(|(kind, histogram)| (kind.clone(), histogram.ratios()))
                 .collect(),
             start_delay_ms: Ratios::default(),
-            broken: broken.len() as u64,
-            broken_examples: broken.iter().take(BROKEN_SHOWN).map(example).collect(),
+            broken: violations.len() as u64,
+            broken_examples: violations
+                .iter()
+                .take(MAX_BROKEN_EXAMPLES)
+                .map(example)
+                .collect(),
             costs: Costs::default(),
         }
     }
 
-    /// Adds how long requests waited for their start.
+    /// Adds the start delays of requests.
     pub fn with_starts(
         mut self,
         submissions: &[SubmissionRecord],
@@ -208,7 +214,7 @@
             .iter()
             .map(|start| (start.task.as_str(), start.at_us))
             .collect();
-        let mut delays = Recorder::new();
+        let mut delays = RatioHistogram::new();
         for record in submissions.iter().filter(|record| !record.planned.is_job) {
             if let Some(at_us) = by_task.get(format!("{}/0", record.id).as_str()) {
                 delays.record(at_us.saturating_sub(record.sent_us) as f64 / 1_000.0);
@@ -218,7 +224,7 @@
         self
     }
 
-    /// Adds what it cost.
+    /// Adds the resource usage.
     pub fn with_costs(
         mut self,
         messages: MessageCounts,
@@ -231,11 +237,13 @@
         let finished = starts.iter().filter(|start| start.finished).count() as u64;
         let calls = store.writes + store.reads + store.watches;
         let per_task = |count: u64| count as f64 / finished.max(1) as f64;
-        let percent = |prefix: &str, processes: f64| usage.of(prefix) / seconds / processes * 100.0;
+        let percent = |prefix: &str, processes: f64| {
+            usage.cpu_seconds_of(prefix) / seconds / processes * 100.0
+        };
         let agent_seconds: f64 = usage
             .cpu_seconds
             .iter()
-            .filter(|(name, _)| is_agent(name))
+            .filter(|(name, _)| is_agent_thread(name))
             .map(|(_, seconds)| seconds)
             .sum();
         self.costs = Costs {
@@ -254,9 +262,10 @@
     }
 }
 
-/// Agents' threads end in their number; a thread's name is cut at 15 bytes.
-fn is_agent(name: &str) -> bool {
-    let other = [
+/// Whether a thread belongs to an agent. Names are truncated to 15 bytes, so the names of other
+/// threads are excluded instead.
+fn is_agent_thread(name: &str) -> bool {
+    let other_prefixes = [
         "callers",
         "entry-",
         "stand-ins",
@@ -265,11 +274,11 @@
         "slog",
         "tokio",
     ];
-    !other.iter().any(|prefix| name.starts_with(prefix))
+    !other_prefixes.iter().any(|prefix| name.starts_with(prefix))
 }
 
 impl Report {
-    /// The report as text.
+    /// Formats the report as text.
     pub fn table(&self) -> String {
         let faults = match self.faults.is_empty() {
             true => "none".to_string(),
@@ -314,7 +323,7 @@
         ));
         let costs = &self.costs;
         text.push_str(&format!(
-            "  messages: work {}, control {}, void {}; {:.2} a task, wasted {:.3} a task\n",
+            "  messages: work {}, control {}, void {}; {:.2} per task, wasted {:.3} per task\n",
             costs.messages.work,
             costs.messages.control,
             costs.messages.void,
@@ -322,17 +331,17 @@
             costs.wasted_per_task
         ));
         text.push_str(&format!(
-            "  store: {:.1} calls/s, peak {} writes/s and {} reads/s, {} over the rate\n",
+            "  store: {:.1} calls/s, peak {} writes/s and {} reads/s, {} rate-limited\n",
             costs.store_calls_per_second,
             costs.store.peak_writes,
             costs.store.peak_reads,
             costs.store.limited
         ));
         text.push_str(&format!(
-            "  cpu: entry {:.1}%, agent {:.1}% of a core; memory {:.0} MB in all\n",
+            "  cpu: entry {:.1}%, agent {:.1}% of a core; memory {:.0} MB in total\n",
             costs.entry_cpu_percent, costs.agent_cpu_percent, costs.memory_mb
         ));
-        text.push_str(&format!("  broken promises: {}\n", self.broken));
+        text.push_str(&format!("  violated guarantees: {}\n", self.broken));
         for example in &self.broken_examples {
             text.push_str(&format!("    {example}\n"));
         }
--- a/src/bench/slope_fleet.rs
+++ b/src/bench/slope_fleet.rs
@@ -1,4 +1,4 @@
-//! Made-up members, tables and submissions for the slopes.
+//! Synthetic members, tables and submissions for measuring slopes.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,7 +16,7 @@
 
 const WALL_MS: u64 = 1_800_000_000_000;
 
-/// Name of a made-up member, as long as real ones are.
+/// Id of a synthetic member, with a name of realistic length.
 pub fn member(index: usize) -> MemberId {
     MemberId::new(
         &format!("logger-intake-{index:04}"),
@@ -24,7 +24,7 @@
     )
 }
 
-/// Record of a made-up member.
+/// Record of a synthetic member.
 pub fn record(index: usize) -> MemberRecord {
     MemberRecord {
         id: member(index),
@@ -39,7 +39,7 @@
     }
 }
 
-/// Load of a made-up member.
+/// Load sample of a synthetic member.
 pub fn sample(index: usize) -> LoadSample {
     LoadSample {
         gate: member(index),
@@ -54,7 +54,7 @@
     }
 }
 
-/// A table in which 128 members own the ranges and `gates` take part.
+/// Table with 128 owners and `gates` gates.
 pub fn table(ranges: u32, gates: usize) -> Table {
     let row = |index: u32| Row {
         owner: Holder {
@@ -73,7 +73,7 @@
     }
 }
 
-/// A configuration with `teams` teams.
+/// Configuration document with `teams` teams.
 pub fn document(teams: usize) -> String {
     let mut text = String::from(
         "regions:\n  - { name: r1, failure_domains: [a, b] }\n  \
@@ -88,19 +88,19 @@
     text
 }
 
-/// What a task gets.
+/// Payload of a task.
 pub fn payload() -> Bytes {
     Bytes::from_static(br#"{"run_ms":120,"nonce":"01a236c9-1fd0-77da-af6a-23ac97d0e672:17"}"#)
 }
 
-/// What a task gives.
+/// Result of a task.
 pub fn result() -> Bytes {
     Bytes::from_static(
         br#"{"echo":{"run_ms":120,"nonce":"01a236c9-1fd0-77da-af6a-23ac97d0e672:17"},"ok":true}"#,
     )
 }
 
-/// The start of a task.
+/// Start message of a task.
 pub fn start(task: TaskId) -> Start {
     Start {
         task,
@@ -117,9 +117,9 @@
     }
 }
 
-/// A fleet of records, with an owner of all its ranges and a gate.
+/// Synthetic fleet with an owner of all ranges and a gate.
 pub struct SlopeFleet {
-    /// What is known of it.
+    /// View of the fleet.
     pub fleet: Fleet,
     owner: Owner,
     gate: Gate,
@@ -127,7 +127,7 @@
 }
 
 impl SlopeFleet {
-    /// `members` members and `ranges` ranges.
+    /// Creates a fleet of `members` members and `ranges` ranges.
     pub fn new(members: usize, ranges: u32) -> SlopeFleet {
         let mut fleet = Fleet::new(Config::empty());
         let text = format!("{}ownership: {{ ranges: {ranges} }}\n", document(2));
@@ -158,7 +158,7 @@
         owned.apply_table(own);
         let mut owner = Owner::new(me.clone(), "a", fleet.config().clone(), 1);
         owner.set_lease_until(u64::MAX);
-        owner.reconcile(moment(), &owned, Some(&holder));
+        owner.reconcile(now(), &owned, Some(&holder));
         let settings = GateSettings {
             me,
             service: "s".to_string(),
@@ -175,7 +175,7 @@
         }
     }
 
-    /// Accepts a request and leaves it open.
+    /// Submits a request and leaves it open.
     pub fn open_request(&mut self, number: usize) {
         self.submit(number);
     }
@@ -188,10 +188,10 @@
         submission.priority = 1;
         submission.tasks = vec![payload()];
         let entry = self.entry.clone();
-        self.owner.submit(moment(), &self.fleet, &entry, submission)
+        self.owner.submit(now(), &self.fleet, &entry, submission)
     }
 
-    /// Accepts a request and ends it at once.
+    /// Submits a request and finishes it immediately.
     pub fn run_request(&mut self, number: usize) {
         for action in self.submit(number) {
             let OwnerAction::Send {
@@ -203,11 +203,11 @@
             };
             let outcome = TaskOutcome::Done(Bytes::copy_from_slice(&result()));
             self.owner
-                .on_finished(moment(), &self.fleet, &to, start.task, outcome, 1_000);
+                .on_finished(now(), &self.fleet, &to, start.task, outcome, 1_000);
         }
     }
 
-    /// Starts a task at the gate and ends it at once.
+    /// Starts a task at the gate and finishes it immediately.
     pub fn run_at_gate(&mut self, number: usize) {
         let submission = id(number);
         let task = TaskId {
@@ -215,32 +215,31 @@
             index: 0,
         };
         let entry = self.entry.clone();
-        for action in self.gate.start(moment(), &entry, start(task)) {
+        for action in self.gate.start(now(), &entry, start(task)) {
             if let GateAction::Run { task, .. } = action {
                 let outcome = TaskOutcome::Done(Bytes::copy_from_slice(&result()));
-                self.gate
-                    .run_ended(moment(), task, RunResult::Ended(outcome));
+                self.gate.run_ended(now(), task, RunResult::Ended(outcome));
             }
         }
     }
 
-    /// Lets a little time pass for the owner.
+    /// Ticks the owner 1 ms later.
     pub fn tick(&mut self) {
         let now = Moment {
-            mono_us: moment().mono_us + 1_000,
-            ..moment()
+            mono_us: now().mono_us + 1_000,
+            ..now()
         };
         self.owner.tick(now, &self.fleet);
     }
 }
 
-/// The id of a made-up submission; multiplying spreads its number over all bits.
+/// Id of a synthetic submission; the multiplication spreads the number over all bits.
 fn id(number: usize) -> SubmissionId {
-    let spread = (number as u128 + 1).wrapping_mul(0x9e37_79b9_7f4a_7c15_f39c_c060_5ced_c835);
-    SubmissionId::mint(WALL_MS, spread)
+    let random = (number as u128 + 1).wrapping_mul(0x9e37_79b9_7f4a_7c15_f39c_c060_5ced_c835);
+    SubmissionId::from_parts(WALL_MS, random)
 }
 
-fn moment() -> Moment {
+fn now() -> Moment {
     let mono_us = Duration::from_secs(100).as_micros() as u64;
     Moment {
         mono_us,
--- a/src/bench/slopes.rs
+++ b/src/bench/slopes.rs
@@ -1,8 +1,7 @@
-//! Cost against size for each mechanism, measured and fitted.
+//! Measures the cost of each mechanism as a function of size.
 //!
-//! Every series is measured at several sizes in this process and fitted with a
-//! line. The largest deviation from the line, as a share of the largest value,
-//! is the fit's error and is written with it.
+//! Every series is measured in this process at several sizes and fitted with a line. The error
+//! of the fit is the maximum deviation from the line relative to the maximum value.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -24,22 +23,22 @@
 use crate::placement::{PlacementRequest, Placer};
 use crate::time::{Moment, Timer};
 
-/// One measured series and its line.
+/// Measured series and its fitted line.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Series {
-    /// What grows.
+    /// Unit of the sizes.
     pub per: String,
     /// Unit of the values.
     pub unit: String,
-    /// Sizes measured.
+    /// Measured sizes.
     pub sizes: Vec<f64>,
-    /// Values at these sizes.
+    /// Values at the measured sizes.
     pub values: Vec<f64>,
-    /// Value at size zero.
+    /// Value of the line at size zero.
     pub intercept: f64,
-    /// Growth for each one more.
+    /// Slope of the line.
     pub slope: f64,
-    /// Largest deviation from the line, as a share of the largest value.
+    /// Maximum deviation from the line relative to the maximum value.
     pub error: f64,
 }
 
@@ -63,7 +62,7 @@
             .iter()
             .map(|point| point.1.abs())
             .fold(f64::MIN_POSITIVE, f64::max);
-        let off = points
+        let deviations = points
             .iter()
             .map(|(x, y)| (y - intercept - slope * x).abs());
         Series {
@@ -73,16 +72,16 @@
             values: points.iter().map(|point| point.1).collect(),
             intercept,
             slope,
-            error: off.fold(0.0, f64::max) / largest,
+            error: deviations.fold(0.0, f64::max) / largest,
         }
     }
 
-    /// The line's value at `size`.
+    /// Value of the line at `size`.
     pub fn at(&self, size: f64) -> f64 {
         self.intercept + self.slope * size
     }
 
-    /// Largest size that was measured.
+    /// Largest measured size.
     pub fn largest(&self) -> f64 {
         self.sizes.iter().copied().fold(0.0, f64::max)
     }
@@ -91,29 +90,29 @@
 /// All measured series by name.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Slopes {
-    /// The series.
+    /// Series by name.
     pub series: BTreeMap<String, Series>,
 }
 
 impl Slopes {
-    /// Writes YAML.
+    /// Serializes to YAML.
     pub fn to_yaml(&self) -> Result<String> {
         serde_yaml_ng::to_string(self).map_err(|err| Error::Other(err.to_string()))
     }
 
-    /// Reads YAML.
+    /// Parses YAML.
     pub fn from_yaml(text: &str) -> Result<Slopes> {
         serde_yaml_ng::from_str(text).map_err(|err| Error::Invalid(vec![err.to_string()]))
     }
 
-    /// The series `name`.
+    /// Returns the series `name`.
     ///
     /// # Panics
-    /// If the file lacks it.
+    /// If the series does not exist.
     pub fn get(&self, name: &str) -> &Series {
         self.series
             .get(name)
-            .unwrap_or_else(|| panic!("the file has no series {name}"))
+            .unwrap_or_else(|| panic!("series {name} is missing from the file"))
     }
 
     fn add(&mut self, name: &str, per: &str, unit: &str, points: &[(f64, f64)]) {
@@ -122,7 +121,7 @@
     }
 }
 
-/// Measures everything.
+/// Measures all series.
 pub fn measure() -> Result<Slopes> {
     let mut slopes = Slopes::default();
     slopes.add(
@@ -153,7 +152,7 @@
         "member_news_us",
         "member",
         "us for a list of members",
-        &member_news(),
+        &member_update(),
     );
     slopes.add("choose_us", "candidate gate", "us for a choice", &choose());
     slopes.add("table_bytes", "range", "bytes in the store", &table_bytes());
@@ -219,9 +218,9 @@
     Ok(())
 }
 
-const MEMBERS: [usize; 4] = [11, 100, 400, 1_400];
+const MEMBER_SIZES: [usize; 4] = [11, 100, 400, 1_400];
 
-/// Median microseconds of `rounds` calls.
+/// Median duration of `rounds` calls in microseconds.
 fn time_us(rounds: usize, mut call: impl FnMut()) -> f64 {
     let mut spans: Vec<f64> = (0..rounds)
         .map(|_| {
@@ -258,14 +257,14 @@
             .map(|i| json_bytes(&slope_fleet::record(i)))
             .sum()
     };
-    MEMBERS
+    MEMBER_SIZES
         .iter()
         .map(|count| (*count as f64, total(*count)))
         .collect()
 }
 
-fn member_news() -> Vec<(f64, f64)> {
-    let one = |count: usize| {
+fn member_update() -> Vec<(f64, f64)> {
+    let measure = |count: usize| {
         let mut fleet = SlopeFleet::new(count, 64);
         let values: Vec<Vec<u8>> = (0..count)
             .map(|i| serde_json::to_vec(&slope_fleet::record(i)).unwrap_or_default())
@@ -279,47 +278,47 @@
             fleet.fleet.apply_members(revision, records.collect());
         })
     };
-    MEMBERS
+    MEMBER_SIZES
         .iter()
-        .map(|count| (*count as f64, one(*count)))
+        .map(|count| (*count as f64, measure(*count)))
         .collect()
 }
 
 fn choose() -> Vec<(f64, f64)> {
-    let one = |count: usize| {
+    let measure = |count: usize| {
         let fleet = SlopeFleet::new(count, 64);
         let me = MemberId::new("owner", 1);
         let mut placer = Placer::new(me, "a", fleet.fleet.config().clone(), 1);
         let samples: Vec<LoadSample> = (0..count).map(slope_fleet::sample).collect();
         placer.merge_samples(Moment::default(), &samples);
-        let want = PlacementRequest {
+        let req = PlacementRequest {
             service: "s",
             accelerators: 0,
             urgent: true,
             avoid: &[],
         };
         time_us(201, || {
-            placer.choose(Moment::default(), &fleet.fleet, &want);
+            placer.choose(Moment::default(), &fleet.fleet, &req);
         })
     };
-    MEMBERS
+    MEMBER_SIZES
         .iter()
-        .map(|count| (*count as f64, one(*count)))
+        .map(|count| (*count as f64, measure(*count)))
         .collect()
 }
 
-const RANGES: [u32; 4] = [64, 256, 512, 1_024];
+const RANGE_SIZES: [u32; 4] = [64, 256, 512, 1_024];
 
 fn table_bytes() -> Vec<(f64, f64)> {
     let bytes = |ranges: u32| json_bytes(&slope_fleet::table(ranges, 0));
-    RANGES
+    RANGE_SIZES
         .iter()
         .map(|ranges| (f64::from(*ranges), bytes(*ranges)))
         .collect()
 }
 
 fn plan() -> Vec<(f64, f64)> {
-    let one = |ranges: u32| {
+    let measure = |ranges: u32| {
         let fleet = SlopeFleet::new(128, ranges);
         let table: &Table = fleet.fleet.table();
         let handed = BTreeMap::new();
@@ -337,37 +336,37 @@
             plan.next();
         })
     };
-    RANGES
+    RANGE_SIZES
         .iter()
-        .map(|ranges| (f64::from(*ranges), one(*ranges)))
+        .map(|ranges| (f64::from(*ranges), measure(*ranges)))
         .collect()
 }
 
-const TEAMS: [usize; 4] = [2, 55, 110, 220];
+const TEAM_SIZES: [usize; 4] = [2, 55, 110, 220];
 
 fn config_bytes() -> Vec<(f64, f64)> {
     let bytes = |teams: usize| slope_fleet::document(teams).len() as f64;
-    TEAMS
+    TEAM_SIZES
         .iter()
         .map(|teams| (*teams as f64, bytes(*teams)))
         .collect()
 }
 
 fn config_read() -> Vec<(f64, f64)> {
-    let one = |teams: usize| {
+    let measure = |teams: usize| {
         let document = slope_fleet::document(teams);
         time_us(15, || {
             let _ = Config::from_yaml(&document);
         })
     };
-    TEAMS
+    TEAM_SIZES
         .iter()
-        .map(|teams| (*teams as f64, one(*teams)))
+        .map(|teams| (*teams as f64, measure(*teams)))
         .collect()
 }
 
 fn change_bytes() -> Vec<(f64, f64)> {
-    let one = |count: usize| {
+    let measure = |count: usize| {
         let change = |revision: usize| Change {
             revision: revision as u64,
             change_id: "01a236d9-944e-7564-b81b-a7541f09222c".to_string(),
@@ -388,7 +387,7 @@
     };
     [10, 100, 500, 1_000]
         .iter()
-        .map(|count| (*count as f64, one(*count)))
+        .map(|count| (*count as f64, measure(*count)))
         .collect()
 }
 
@@ -400,18 +399,18 @@
         .collect()
 }
 
-const TASKS: [u32; 4] = [1, 12, 40, 120];
+const TASK_SIZES: [u32; 4] = [1, 12, 40, 120];
 
 fn start_bytes() -> Vec<(f64, f64)> {
     let start = |index: u32| {
         let task = TaskId {
-            submission: SubmissionId::mint(1, 1),
+            submission: SubmissionId::from_parts(1, 1),
             index,
         };
         Message::Start(Box::new(slope_fleet::start(task)))
     };
     let bytes = |count: u32| frame_bytes((0..count).map(start).collect(), vec![]);
-    TASKS
+    TASK_SIZES
         .iter()
         .map(|count| (f64::from(*count), bytes(*count)))
         .collect()
@@ -420,29 +419,29 @@
 fn finish_bytes() -> Vec<(f64, f64)> {
     let finish = |index: u32| Message::Finished {
         task: TaskId {
-            submission: SubmissionId::mint(1, 1),
+            submission: SubmissionId::from_parts(1, 1),
             index,
         },
         outcome: TaskOutcome::Done(slope_fleet::result()),
         run_us: 180_000,
     };
     let bytes = |count: u32| frame_bytes((0..count).map(finish).collect(), vec![]);
-    TASKS
+    TASK_SIZES
         .iter()
         .map(|count| (f64::from(*count), bytes(*count)))
         .collect()
 }
 
-const KEPT: [usize; 4] = [20_000, 40_000, 80_000, 160_000];
+const KEPT_SIZES: [usize; 4] = [20_000, 40_000, 80_000, 160_000];
 
-/// Resident bytes after each size, while one fleet grows. The fleet is leaked,
-/// so that no later series reuses its memory.
+/// Growth of resident memory in bytes as a fleet grows. The fleet is leaked so that later series
+/// do not reuse its memory.
 fn growing_memory(mut grow: impl FnMut(&mut SlopeFleet, usize)) -> Vec<(f64, f64)> {
     let mut fleet = SlopeFleet::new(4, 64);
     let before = resident_bytes();
     let mut grown = 0;
     let mut points = Vec::new();
-    for size in KEPT {
+    for size in KEPT_SIZES {
         (grown..size).for_each(|number| grow(&mut fleet, number));
         grown = size;
         points.push((size as f64, resident_bytes() - before));
@@ -464,53 +463,53 @@
 }
 
 fn open_tick() -> Vec<(f64, f64)> {
-    let one = |count: usize| {
+    let measure = |count: usize| {
         let mut fleet = SlopeFleet::new(4, 64);
         (0..count).for_each(|number| fleet.open_request(number));
         time_us(51, || fleet.tick())
     };
     [100, 400, 1_600, 6_400]
         .iter()
-        .map(|count| (*count as f64, one(*count)))
+        .map(|count| (*count as f64, measure(*count)))
         .collect()
 }
 
-/// Memory of links between one process and many, all in this one.
+/// Memory of links between one hub and many peers, including both ends.
 fn link_memory() -> Result<Vec<(f64, f64)>> {
     let sizes = [50, 100, 200, 400];
     sizes
         .iter()
-        .map(|count| Ok((*count as f64, links_memory(*count)?)))
+        .map(|count| Ok((*count as f64, memory_of_links(*count)?)))
         .collect()
 }
 
-fn links_memory(count: usize) -> Result<f64> {
+fn memory_of_links(count: usize) -> Result<f64> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()?;
     let before = resident_bytes();
-    let made = runtime.block_on(make_links(count))?;
-    let grown = resident_bytes() - before;
-    std::mem::forget(made);
+    let links = runtime.block_on(open_links(count))?;
+    let used = resident_bytes() - before;
+    std::mem::forget(links);
     std::mem::forget(runtime);
-    Ok(grown)
+    Ok(used)
 }
 
-async fn make_links(count: usize) -> Result<Vec<Links>> {
+async fn open_links(count: usize) -> Result<Vec<Links>> {
     let timer = Timer::start();
-    let distance = Arc::new(NoDelay);
+    let delay = Arc::new(NoDelay);
     let hub_id = MemberId::new("hub", 1);
     let (tx, mut events) = tokio::sync::mpsc::unbounded_channel();
-    let hub = Links::new(hub_id.clone(), timer.clone(), distance.clone(), tx);
+    let hub = Links::new(hub_id.clone(), timer.clone(), delay.clone(), tx);
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await?;
     let addr = listener.local_addr()?;
-    let serving = hub.clone();
-    tokio::spawn(async move { serving.serve(listener, std::future::pending()).await });
+    let listening_hub = hub.clone();
+    tokio::spawn(async move { listening_hub.serve(listener, std::future::pending()).await });
     let mut links = vec![hub];
     for number in 0..count {
         let (tx, _) = tokio::sync::mpsc::unbounded_channel();
         let me = MemberId::new(&format!("spoke-{number}"), 1);
-        let spoke = Links::new(me, timer.clone(), distance.clone(), tx);
+        let spoke = Links::new(me, timer.clone(), delay.clone(), tx);
         spoke.dial(&hub_id, addr);
         links.push(spoke);
     }
@@ -520,7 +519,7 @@
     Ok(links)
 }
 
-/// An answer as an entry gets it; its size is part of a submission's bytes.
+/// Creates an owner's answer to an entry.
 pub(crate) fn answer_message(id: SubmissionId, results: Vec<Bytes>) -> Message {
     Message::Answer {
         id,
@@ -529,15 +528,15 @@
     }
 }
 
-/// Bytes of a job's way between entry and owner, there and back.
+/// Size in bytes of a job's submission and answer between entry and owner.
 pub fn job_bytes(tasks: usize) -> f64 {
-    let id = SubmissionId::mint(1, 1);
+    let id = SubmissionId::from_parts(1, 1);
     let mut submission = Submission::id_only(id, 10_000);
     submission.tasks = vec![slope_fleet::payload(); tasks];
-    let there = frame_bytes(vec![Message::Submit(Box::new(submission))], vec![]);
-    let back = frame_bytes(
+    let submit_bytes = frame_bytes(vec![Message::Submit(Box::new(submission))], vec![]);
+    let answer_bytes = frame_bytes(
         vec![answer_message(id, vec![slope_fleet::result(); tasks])],
         vec![],
     );
-    there + back
+    submit_bytes + answer_bytes
 }
--- a/src/bench/throughput.rs
+++ b/src/bench/throughput.rs
@@ -1,7 +1,7 @@
-//! Zero-length tasks a second through one entry and one agent.
+//! Measures the throughput of empty tasks through one entry and one agent.
 //!
-//! The target is left out: a worker inside the agent's process answers at once,
-//! so that what is measured is winghold's own work on the path of a task.
+//! A worker inside the agent's process answers immediately, so that only winghold's own
+//! overhead per task is measured.
 
 use std::sync::Arc;
 use std::sync::mpsc::Sender;
@@ -33,12 +33,12 @@
 policy: { target_queue: 100000, owner_queue: 1000000, reserved_slots: 0, urgent_redirects: 0 }
 ";
 const SLOTS: u32 = 256;
-/// Jobs that are run before the measurement.
-const WARM_UP: Duration = Duration::from_millis(500);
+/// Duration of the load before the measurement.
+const WARM_UP_TIME: Duration = Duration::from_millis(500);
 
-struct Nothing;
+struct EchoWorker;
 
-impl Worker for Nothing {
+impl Worker for EchoWorker {
     fn run(&self, run: Run) -> WorkerFuture<RunResult> {
         Box::pin(async move { RunResult::Ended(TaskOutcome::Done(run.payload)) })
     }
@@ -52,35 +52,35 @@
     }
 }
 
-/// What was measured.
+/// Measured throughput.
 #[derive(Clone, Debug)]
 pub struct Throughput {
-    /// Tasks of one job.
+    /// Number of tasks per job.
     pub tasks_per_job: usize,
-    /// Tasks a second.
+    /// Tasks per second.
     pub tasks_per_second: f64,
-    /// Processor share of the entry, in percent of a core.
+    /// CPU usage of the entry in percent of a core.
     pub entry_cpu_percent: f64,
-    /// Processor share of the agent, in percent of a core.
+    /// CPU usage of the agent in percent of a core.
     pub agent_cpu_percent: f64,
 }
 
 impl Throughput {
-    /// Processor microseconds of the entry for a task.
+    /// CPU time of the entry per task in microseconds.
     pub fn entry_us_per_task(&self) -> f64 {
         self.entry_cpu_percent * 1e4 / self.tasks_per_second
     }
 
-    /// Processor microseconds of the agent for a task.
+    /// CPU time of the agent per task in microseconds.
     pub fn agent_us_per_task(&self) -> f64 {
         self.agent_cpu_percent * 1e4 / self.tasks_per_second
     }
 
-    /// As text.
+    /// Formats the measurement as text.
     pub fn table(&self) -> String {
         format!(
-            "{} tasks a job: {:.0} tasks/s; entry {:.0}% of a core, {:.1} us a task; \
-             agent {:.0}% of a core, {:.1} us a task\n",
+            "{} tasks per job: {:.0} tasks/s; entry {:.0}% of a core, {:.1} us per task; \
+             agent {:.0}% of a core, {:.1} us per task\n",
             self.tasks_per_job,
             self.tasks_per_second,
             self.entry_cpu_percent,
@@ -91,7 +91,7 @@
     }
 }
 
-/// Measures jobs of `tasks` tasks, `jobs` at once, for `length`.
+/// Measures jobs of `tasks` tasks, `jobs` concurrently, for `length`.
 pub fn run(tasks: usize, jobs: usize, length: Duration) -> Result<Throughput> {
     let options = LocalOptions {
         targets: 0,
@@ -118,7 +118,7 @@
     Host::start("one-agent", move |stop, ready: Sender<Ready>| async move {
         let store = Arc::new(StoreClient::new(settings.process.store, timer.clone())?);
         let store: Arc<dyn Store> = store;
-        let worker = Arc::new(Nothing);
+        let worker = Arc::new(EchoWorker);
         let parts = AgentParts::new(settings, store, worker, timer, logging::discard());
         let agent = Agent::bind(parts).await?;
         let (addr, message_counters) = (agent.addr(), agent.message_counters());
@@ -133,38 +133,38 @@
 async fn measure(fleet: &Local, tasks: usize, jobs: usize, length: Duration) -> Result<Throughput> {
     Config::from_yaml(CONFIG)?;
     fleet.entries_ready().await?;
-    drive(fleet, tasks, jobs, WARM_UP).await?;
+    run_jobs(fleet, tasks, jobs, WARM_UP_TIME).await?;
     let before = Usage::read();
     let started = fleet.timer.now();
-    let done = drive(fleet, tasks, jobs, length).await?;
+    let finished = run_jobs(fleet, tasks, jobs, length).await?;
     let seconds = (fleet.timer.now().mono_us - started.mono_us) as f64 / 1e6;
     let usage = Usage::read().since(&before);
     Ok(Throughput {
         tasks_per_job: tasks,
-        tasks_per_second: done as f64 / seconds,
-        entry_cpu_percent: usage.of("entry-") / seconds * 100.0,
-        agent_cpu_percent: usage.of("one-agent") / seconds * 100.0,
+        tasks_per_second: finished as f64 / seconds,
+        entry_cpu_percent: usage.cpu_seconds_of("entry-") / seconds * 100.0,
+        agent_cpu_percent: usage.cpu_seconds_of("one-agent") / seconds * 100.0,
     })
 }
 
-/// Keeps `jobs` jobs under way for `length`; gives the tasks that were done.
-async fn drive(fleet: &Local, tasks: usize, jobs: usize, length: Duration) -> Result<usize> {
+/// Keeps `jobs` jobs in flight for `length`; returns the number of finished tasks.
+async fn run_jobs(fleet: &Local, tasks: usize, jobs: usize, length: Duration) -> Result<usize> {
     let client = EntryClient::new(fleet.entries[0].addr);
     let body = format!("{{\"tasks\":[{}]}}", vec!["0"; tasks].join(","));
     let until_us = fleet.timer.now().after(length);
     let mut callers = JoinSet::new();
     for _ in 0..jobs {
         let (client, timer, body) = (client.clone(), fleet.timer.clone(), body.clone());
-        callers.spawn(async move { call_until(&client, &timer, &body, until_us).await });
+        callers.spawn(async move { submit_until(&client, &timer, &body, until_us).await });
     }
-    let mut done = 0;
+    let mut finished = 0;
     while let Some(calls) = callers.join_next().await {
-        done += calls.map_err(|err| Error::Other(err.to_string()))?? * tasks;
+        finished += calls.map_err(|err| Error::Other(err.to_string()))?? * tasks;
     }
-    Ok(done)
+    Ok(finished)
 }
 
-async fn call_until(
+async fn submit_until(
     client: &EntryClient,
     timer: &Timer,
     body: &str,
--- a/src/bench/usage.rs
+++ b/src/bench/usage.rs
@@ -1,22 +1,22 @@
-//! Processor time and memory of this process, by thread.
+//! CPU time by thread, and memory, of this process.
 
 use std::collections::BTreeMap;
 use std::fs;
 
-/// Ticks of processor time in a second, as Linux counts them for `/proc`.
+/// Clock ticks per second in `/proc`.
 const TICKS_PER_SECOND: f64 = 100.0;
 
-/// Processor seconds by thread name, and resident memory.
+/// CPU time by thread name, and resident memory.
 #[derive(Clone, Debug, Default)]
 pub struct Usage {
-    /// Processor seconds of each thread name.
+    /// CPU seconds by thread name.
     pub cpu_seconds: BTreeMap<String, f64>,
     /// Resident memory in megabytes.
     pub memory_mb: f64,
 }
 
 impl Usage {
-    /// Reads `/proc`.
+    /// Reads the current usage from `/proc`.
     pub fn read() -> Usage {
         let mut usage = Usage {
             memory_mb: memory_mb(),
@@ -34,7 +34,7 @@
         usage
     }
 
-    /// What came since `before`.
+    /// CPU time used since `before`.
     pub fn since(mut self, before: &Usage) -> Usage {
         for (name, seconds) in &mut self.cpu_seconds {
             *seconds -= before.cpu_seconds.get(name).copied().unwrap_or(0.0);
@@ -42,8 +42,8 @@
         self
     }
 
-    /// Processor seconds of all threads whose name starts with `prefix`.
-    pub fn of(&self, prefix: &str) -> f64 {
+    /// CPU seconds of all threads whose name starts with `prefix`.
+    pub fn cpu_seconds_of(&self, prefix: &str) -> f64 {
         let named = self
             .cpu_seconds
             .iter()
--- a/src/bench/workload.rs
+++ b/src/bench/workload.rs
@@ -1,4 +1,4 @@
-//! The submissions of a run, planned before it starts.
+//! Plans the submissions of a run from the bench loads of a configuration.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -10,58 +10,58 @@
 use crate::config::{BenchLoad, Config, Kind};
 use crate::error::{Error, Result};
 
-/// Standard normal quantile of 0.99.
-const Z99: f64 = 2.326;
-/// Run times are cut off at this many times their 99th percentile.
-const TAIL: f64 = 4.0;
+/// 0.99 quantile of the standard normal distribution.
+const Z_P99: f64 = 2.326;
+/// Maximum run time as a multiple of the 99th percentile.
+const MAX_RUN_TIME_FACTOR: f64 = 4.0;
 
-/// One planned submission.
+/// Planned submission.
 #[derive(Clone, Debug)]
-pub struct Planned {
-    /// When it is sent, from the start of the run.
+pub struct PlannedSubmission {
+    /// Time at which it is sent, from the start of the run.
     pub at: Duration,
-    /// Service.
+    /// Service name.
     pub service: Arc<str>,
-    /// Kind.
+    /// Request kind.
     pub kind: Arc<str>,
     /// Run time of each task in milliseconds.
     pub run_ms: Vec<f64>,
     /// Whether it is a job.
     pub is_job: bool,
-    /// Time until its deadline.
+    /// Deadline relative to the time of sending.
     pub deadline: Duration,
-    /// Team, if there are any.
+    /// Team, if the configuration has teams.
     pub team: Option<Arc<str>>,
 }
 
-/// All submissions of a run, in order of time.
+/// Submissions of a run, sorted by time.
 #[derive(Clone, Debug)]
 pub struct Workload {
     /// The submissions.
-    pub submissions: Vec<Planned>,
+    pub submissions: Vec<PlannedSubmission>,
 }
 
-struct Source<'c> {
+struct LoadSource<'c> {
     service: &'c str,
     kind: &'c Kind,
     load: &'c BenchLoad,
 }
 
-impl Source<'_> {
+impl LoadSource<'_> {
     fn run_time(&self) -> Result<LogNormal<f64>> {
-        let sigma = (self.load.p99_ms / self.load.median_ms).ln() / Z99;
+        let sigma = (self.load.p99_ms / self.load.median_ms).ln() / Z_P99;
         let run_time = LogNormal::new(self.load.median_ms.ln(), sigma.max(0.0));
         run_time.map_err(|err| Error::Other(err.to_string()))
     }
 
     fn mean_ms(&self) -> f64 {
-        let sigma = (self.load.p99_ms / self.load.median_ms).ln() / Z99;
+        let sigma = (self.load.p99_ms / self.load.median_ms).ln() / Z_P99;
         self.load.median_ms * (sigma * sigma / 2.0).exp()
     }
 }
 
 impl Workload {
-    /// Plans a load that needs `load` of `slots` for `length`.
+    /// Plans submissions that occupy a fraction `load` of `slots` for `length`.
     pub fn plan(
         config: &Config,
         slots: u32,
@@ -69,7 +69,7 @@
         length: Duration,
         seed: u64,
     ) -> Result<Workload> {
-        let sources = sources(config);
+        let sources = load_sources(config);
         if sources.is_empty() {
             let text = "services: no kind has a `bench` load".to_string();
             return Err(Error::Invalid(vec![text]));
@@ -77,21 +77,21 @@
         let weights: f64 = sources.iter().map(|source| source.load.weight).sum();
         let mean_ms: f64 = sources
             .iter()
-            .map(|one| one.load.weight / weights * one.mean_ms())
+            .map(|source| source.load.weight / weights * source.mean_ms())
             .sum();
         let tasks_per_second = f64::from(slots) * load * 1_000.0 / mean_ms;
         let mut rng = StdRng::seed_from_u64(seed);
         let mut submissions = Vec::new();
         for source in &sources {
             let tasks = tasks_per_second * source.load.weight / weights;
-            arrivals(source, tasks, length, config, &mut rng, &mut submissions)?;
+            plan_arrivals(source, tasks, length, config, &mut rng, &mut submissions)?;
         }
         submissions.sort_by_key(|planned| planned.at);
         Ok(Workload { submissions })
     }
 }
 
-fn sources(config: &Config) -> Vec<Source<'_>> {
+fn load_sources(config: &Config) -> Vec<LoadSource<'_>> {
     let kinds = config.services.iter().flat_map(|service| {
         service
             .kinds
@@ -100,7 +100,7 @@
     });
     let loads = kinds.filter_map(|(service, kind)| {
         let load = kind.bench.as_ref()?;
-        Some(Source {
+        Some(LoadSource {
             service,
             kind,
             load,
@@ -109,39 +109,39 @@
     loads.collect()
 }
 
-fn arrivals(
-    source: &Source<'_>,
+fn plan_arrivals(
+    source: &LoadSource<'_>,
     tasks_per_second: f64,
     length: Duration,
     config: &Config,
     rng: &mut StdRng,
-    submissions: &mut Vec<Planned>,
+    submissions: &mut Vec<PlannedSubmission>,
 ) -> Result<()> {
     let per_arrival = f64::from(source.load.tasks * source.load.burst);
-    let gaps = Exp::new(tasks_per_second / per_arrival);
-    let gaps = gaps.map_err(|err| Error::Other(err.to_string()))?;
+    let intervals = Exp::new(tasks_per_second / per_arrival);
+    let intervals = intervals.map_err(|err| Error::Other(err.to_string()))?;
     let run_time = source.run_time()?;
     let mut at = 0.0;
     loop {
-        at += gaps.sample(rng);
+        at += intervals.sample(rng);
         if at >= length.as_secs_f64() {
             return Ok(());
         }
         for _ in 0..source.load.burst {
-            submissions.push(planned(source, at, &run_time, config, rng));
+            submissions.push(plan_submission(source, at, &run_time, config, rng));
         }
     }
 }
 
-fn planned(
-    source: &Source<'_>,
+fn plan_submission(
+    source: &LoadSource<'_>,
     at: f64,
     run_time: &LogNormal<f64>,
     config: &Config,
     rng: &mut StdRng,
-) -> Planned {
-    let longest = source.load.p99_ms * TAIL;
-    let run_ms = (0..source.load.tasks).map(|_| run_time.sample(rng).min(longest));
+) -> PlannedSubmission {
+    let max_run_ms = source.load.p99_ms * MAX_RUN_TIME_FACTOR;
+    let run_ms = (0..source.load.tasks).map(|_| run_time.sample(rng).min(max_run_ms));
     let run_ms = run_ms.collect();
     let team = match config.teams.len() {
         0 => None,
@@ -149,7 +149,7 @@
             config.teams[rng.random_range(0..count)].name.as_str(),
         )),
     };
-    Planned {
+    PlannedSubmission {
         at: Duration::from_secs_f64(at),
         service: Arc::from(source.service),
         kind: Arc::from(source.kind.name.as_str()),
--- a/src/bin/winghold/app.rs
+++ b/src/bin/winghold/app.rs
@@ -18,7 +18,7 @@
 use winghold::operator::{Operator, Output};
 use winghold::query::{self, Statement};
 use winghold::settings::LogLevel;
-use winghold::signal::asked_to_stop;
+use winghold::signal::wait_for_stop_signal;
 use winghold::standin::store::{StandInStore, StoreRates};
 use winghold::standin::target::{StandInTarget, StartLog};
 use winghold::store_client::StoreClient;
@@ -195,7 +195,7 @@
         entries.join(","),
         fleet.agents.len()
     );
-    runtime.block_on(asked_to_stop())?;
+    runtime.block_on(wait_for_stop_signal())?;
     fleet.stop()
 }
 
@@ -229,7 +229,7 @@
         ConfigStore::new(store, timer).propose(&proposal).await?;
     }
     println!("ready store={store_addr} targets={}", targets.join(","));
-    asked_to_stop().await
+    wait_for_stop_signal().await
 }
 
 fn run_bench(command: &BenchCommand) -> Result<()> {
@@ -243,7 +243,7 @@
         }
         Some(BenchPart::Capacity { file }) => {
             let measured = slopes::Slopes::from_yaml(&read(file)?)?;
-            print!("{}", capacity::page(&measured));
+            print!("{}", capacity::render(&measured));
             Ok(())
         }
         Some(BenchPart::Throughput(args)) => bench_throughput(args),
--- a/src/config.rs
+++ b/src/config.rs
@@ -1,35 +1,33 @@
-//! The fleet's configuration: one YAML document with a revision.
+//! Configuration of the fleet: a YAML document with a revision.
 //!
-//! It is read once into plain structs, checked as a whole, and passed by
-//! reference from there on. Spans are written in milliseconds and named so.
-//! Unknown keys are refused. [`crate::document`] reads the YAML and finds the
-//! lines of what is wrong.
+//! [`crate::document`] parses the YAML into the types of this module, rejects unknown keys
+//! and locates errors by line; this module validates the values.
 
 use std::collections::HashSet;
 use std::time::Duration;
 
 use serde::{Deserialize, Serialize};
 
-use crate::document::{self, Fault};
+use crate::document::{self, ValidationError};
 use crate::error::Result;
 
-/// The whole configuration of a fleet.
+/// Configuration of a fleet.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Config {
     /// Regions and their failure domains.
     pub regions: Vec<Region>,
-    /// Services and their kinds of request.
+    /// Services and their request kinds.
     pub services: Vec<Service>,
-    /// Teams and their quotas; a submission without a team is unmetered.
+    /// Teams and their quotas; submissions without a team have no quota.
     #[serde(default)]
     pub teams: Vec<Team>,
-    /// Names of targets that operators drain; kept beside the document.
+    /// Names of drained targets; stored beside the document.
     #[serde(skip)]
     pub drained: Vec<String>,
-    /// Failure domains that operators have evacuated; kept beside the document.
+    /// Names of evacuated failure domains; stored beside the document.
     #[serde(skip)]
     pub evacuated: Vec<String>,
-    /// What callers may send.
+    /// Limits on callers' requests.
     #[serde(default)]
     pub limits: Limits,
     /// Placement, queues and retries.
@@ -40,12 +38,12 @@
     pub ownership: Ownership,
 }
 
-/// A region.
+/// Group of failure domains.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Region {
     /// Unique name.
     pub name: String,
-    /// Its failure domains; their names are unique in the fleet.
+    /// Names of its failure domains, unique in the fleet.
     pub failure_domains: Vec<String>,
 }
 
@@ -54,31 +52,31 @@
 pub struct Service {
     /// Unique name, part of the URL.
     pub name: String,
-    /// Kinds of request; the first is the default.
+    /// Request kinds; the first is the default.
     pub kinds: Vec<Kind>,
 }
 
-/// A kind of request or task.
+/// Kind of a request or task.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Kind {
     /// Name, unique within its service.
     pub name: String,
-    /// Whether it may run again after an unknown outcome.
+    /// Whether a task may be repeated after an unknown outcome.
     #[serde(default)]
     pub repeatable: bool,
-    /// Priority; 0 is the most urgent.
+    /// Priority; 0 is the highest.
     #[serde(default = "Kind::default_priority")]
     pub priority: u8,
-    /// Deadline of a request that names none.
+    /// Deadline of requests that specify none.
     #[serde(default = "Kind::default_deadline_ms")]
     pub deadline_ms: u64,
-    /// Declared run time; replaced by what is measured.
+    /// Declared run time, used until run times have been measured.
     #[serde(default = "Kind::default_expected_ms")]
     pub expected_ms: u64,
-    /// Accelerators that one task holds while it runs.
+    /// Number of accelerators that a running task occupies.
     #[serde(default)]
     pub accelerators: u32,
-    /// Load that `winghold bench` puts on this kind.
+    /// Load of this kind in `winghold bench`.
     #[serde(default)]
     pub bench: Option<BenchLoad>,
 }
@@ -97,19 +95,19 @@
     }
 }
 
-/// Synthetic load of one kind.
+/// Synthetic load of a kind.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct BenchLoad {
-    /// Share of all tasks.
+    /// Weight of this kind among all tasks.
     pub weight: f64,
-    /// Tasks of one submission; 1 is a request.
+    /// Tasks per submission; 1 is a request, more a job.
     #[serde(default = "BenchLoad::default_tasks")]
     pub tasks: u32,
     /// Median run time.
     pub median_ms: f64,
     /// 99th percentile of the run time.
     pub p99_ms: f64,
-    /// Submissions that arrive together.
+    /// Number of submissions that arrive together.
     #[serde(default = "BenchLoad::default_tasks")]
     pub burst: u32,
 }
@@ -125,10 +123,10 @@
 pub struct Team {
     /// Unique name.
     pub name: String,
-    /// Weight against other teams where they compete.
+    /// Weight relative to other teams under contention.
     #[serde(default = "Team::default_share")]
     pub share: u32,
-    /// Most slots at once in the whole fleet; 0 is no limit.
+    /// Maximum number of slots in use across the fleet; 0 means no limit.
     #[serde(default)]
     pub max_slots: u32,
 }
@@ -139,25 +137,25 @@
     }
 }
 
-/// Limits on what callers send.
+/// Limits on callers' requests.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Limits {
-    /// Bytes of a body.
+    /// Maximum size of a body in bytes.
     pub body_bytes: usize,
-    /// Bytes of all headers.
+    /// Maximum total size of headers in bytes.
     pub header_bytes: usize,
-    /// Number of headers.
+    /// Maximum number of headers.
     pub headers: usize,
-    /// Time to send all headers.
+    /// Timeout for receiving all headers.
     pub header_ms: u64,
-    /// Time to send the whole body.
+    /// Timeout for receiving the body.
     pub body_ms: u64,
-    /// Connections of callers at one entry.
+    /// Maximum number of callers' connections per entry.
     pub connections: usize,
-    /// Tasks of a job.
+    /// Maximum number of tasks per job.
     pub job_tasks: usize,
-    /// Longest deadline that a caller may ask for.
+    /// Maximum deadline of a request.
     pub deadline_ms: u64,
 }
 
@@ -176,21 +174,21 @@
     }
 }
 
-/// How a target is chosen for a task.
+/// Policy that selects the target of a task.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Placement {
-    /// Least expected finish among candidates, by reported load.
+    /// Earliest expected completion among candidates, by reported load.
     #[default]
     LeastFinish,
-    /// Uniformly at random; a baseline.
+    /// Uniformly random; a baseline.
     Random,
-    /// In turn; a baseline.
+    /// Round robin; a baseline.
     RoundRobin,
 }
 
 impl Placement {
-    /// Whether a task waits at its owner while every target looks full.
+    /// Whether tasks wait at their owner while all targets are full.
     pub fn binds_late(self) -> bool {
         self == Placement::LeastFinish
     }
@@ -200,38 +198,38 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Policy {
-    /// How a target is chosen.
+    /// Policy that selects targets.
     pub placement: Placement,
-    /// Tasks that may wait at one target.
+    /// Maximum number of tasks waiting at a target.
     pub target_queue: usize,
     /// Highest priority number that counts as urgent.
     pub urgent_priority: u8,
-    /// Slots of each target that are kept for urgent tasks.
+    /// Number of slots of each target reserved for urgent tasks.
     pub reserved_slots: u32,
-    /// How often a gate without a free slot sends an urgent task back to its
-    /// owner, to be placed anew, before it lets it wait.
+    /// How often a gate without a free slot returns an urgent task to its owner for
+    /// another placement before it queues the task.
     pub urgent_redirects: u32,
-    /// Time after which a task that waits may use them all the same.
+    /// Waiting time after which any task may use reserved slots.
     pub reserve_patience_ms: u64,
-    /// Tasks that may wait at one owner.
+    /// Maximum number of tasks waiting at an owner.
     pub owner_queue: usize,
-    /// Retries allowed for every 100 first tries.
+    /// Retries allowed per 100 first attempts.
     pub retry_percent: u32,
-    /// Retries allowed before the percentage counts.
+    /// Maximum number of unused retries that accumulate, and the initial number.
     pub retry_burst: u32,
-    /// First delay before a retry; doubled each time, with jitter.
+    /// Initial retry delay; doubles with each retry, with jitter.
     pub retry_backoff_ms: u64,
-    /// Share of failed runs, in percent, from which a target is ejected.
+    /// Percentage of failed runs at which a target is ejected.
     pub eject_failures_percent: u32,
-    /// Most targets ejected at once, in percent.
+    /// Maximum percentage of targets ejected at the same time.
     pub eject_cap_percent: u32,
-    /// How long a target stays ejected.
+    /// Duration of an ejection.
     pub eject_ms: u64,
-    /// Time after which an unfinished task's target is asked about it.
+    /// Time after which an owner queries the target of an unfinished task.
     pub inquiry_ms: u64,
-    /// Lease under which a worker runs a task.
+    /// Lease of a running task at its worker.
     pub task_lease_ms: u64,
-    /// Whether a cancel stops tasks that run.
+    /// Whether a cancellation stops running tasks.
     pub cancel_stops_running: bool,
 }
 
@@ -259,11 +257,10 @@
 }
 
 impl Policy {
-    /// Whether a task of `priority` that has waited for `waited` may use every
-    /// slot.
+    /// Whether a task of `priority` that has waited for `waited` may use reserved slots.
     pub fn is_urgent(&self, priority: u8, waited: Duration) -> bool {
-        let patience = Duration::from_millis(self.reserve_patience_ms);
-        priority <= self.urgent_priority || waited >= patience
+        let max_wait = Duration::from_millis(self.reserve_patience_ms);
+        priority <= self.urgent_priority || waited >= max_wait
     }
 }
 
@@ -271,18 +268,18 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Ownership {
-    /// Number of key ranges; fixed for the life of a fleet.
+    /// Number of key ranges; cannot be changed in an existing fleet.
     pub ranges: u32,
-    /// Most members that own ranges.
+    /// Maximum number of members that own ranges.
     pub max_owners: usize,
-    /// Lease of an owner in the store.
+    /// Duration of an owner's lease in the store.
     pub lease_ms: u64,
-    /// Largest difference between the wall clocks of two processes.
+    /// Maximum difference between the wall clocks of two processes.
     pub skew_ms: u64,
-    /// How long the answer of a submission is kept.
+    /// Retention time of answers.
     pub retention_ms: u64,
-    /// Whether an owner may use its own target. Recovery after its crash then
-    /// cannot prove that a task did not run.
+    /// Whether an owner may use its own target. Recovery after its crash then cannot prove
+    /// that a task did not run.
     pub self_placement: bool,
 }
 
@@ -300,26 +297,25 @@
 }
 
 impl Ownership {
-    /// Lease of an owner.
+    /// Duration of an owner's lease.
     pub fn lease(&self) -> Duration {
         Duration::from_millis(self.lease_ms)
     }
 
-    /// How long a new owner waits once the lease of a crashed one ran out.
+    /// Time that a new owner waits after the lease of a crashed owner expired.
     pub fn takeover_wait(&self) -> Duration {
         Duration::from_millis(2 * self.skew_ms)
     }
 }
 
 impl Config {
-    /// Whether operators want no new work for a target in a failure domain.
-    pub fn bars(&self, target: &str, domain: &str) -> bool {
+    /// Whether a target gets no new tasks because it is drained or its domain evacuated.
+    pub fn excludes(&self, target: &str, domain: &str) -> bool {
         let drained = self.drained.iter().any(|name| name == target);
         drained || self.evacuated.iter().any(|name| name == domain)
     }
 
-    /// The configuration of a process that has none from the store yet: no
-    /// services, and defaults for everything else.
+    /// Initial configuration of a process: no services, defaults elsewhere.
     pub fn empty() -> Config {
         Config {
             regions: Vec::new(),
@@ -333,92 +329,101 @@
         }
     }
 
-    /// Reads and checks a document.
+    /// Parses and validates a document.
     ///
     /// # Errors
-    /// [`crate::error::Error::Invalid`] with a line for every fault.
+    /// [`crate::error::Error::Invalid`] with one line per error.
     pub fn from_yaml(text: &str) -> Result<Config> {
         let config: Config = document::parse(text)?;
-        document::reject(text, &config.faults())?;
+        document::ensure_valid(text, &config.errors())?;
         Ok(config)
     }
 
-    /// The service named `name`.
+    /// Finds a service by name.
     pub fn service(&self, name: &str) -> Option<&Service> {
         self.services.iter().find(|service| service.name == name)
     }
 
-    /// The team named `name`.
+    /// Finds a team by name.
     pub fn team(&self, name: &str) -> Option<&Team> {
         self.teams.iter().find(|team| team.name == name)
     }
 
-    /// The region that holds `domain`.
+    /// Region of a failure domain.
     pub fn region_of(&self, domain: &str) -> Option<&Region> {
         self.regions
             .iter()
             .find(|region| region.failure_domains.iter().any(|name| name == domain))
     }
 
-    fn faults(&self) -> Vec<Fault> {
-        let mut faults = Vec::new();
-        self.check_regions(&mut faults);
-        self.check_services(&mut faults);
-        self.check_teams(&mut faults);
-        self.check_numbers(&mut faults);
-        faults
+    fn errors(&self) -> Vec<ValidationError> {
+        let mut errors = Vec::new();
+        self.check_regions(&mut errors);
+        self.check_services(&mut errors);
+        self.check_teams(&mut errors);
+        self.check_numbers(&mut errors);
+        errors
     }
 
-    fn check_regions(&self, faults: &mut Vec<Fault>) {
+    fn check_regions(&self, errors: &mut Vec<ValidationError>) {
         if self.regions.is_empty() {
-            faults.push(Fault::new("regions", "needs at least one region"));
+            errors.push(ValidationError::new("regions", "needs at least one region"));
         }
         let mut seen = HashSet::new();
         for (i, region) in self.regions.iter().enumerate() {
             for (j, domain) in region.failure_domains.iter().enumerate() {
                 if !seen.insert(domain) {
                     let key = format!("regions[{i}].failure_domains[{j}]");
-                    faults.push(Fault::new(&key, &format!("`{domain}` stands twice")));
+                    errors.push(ValidationError::new(
+                        &key,
+                        &format!("`{domain}` stands twice"),
+                    ));
                 }
             }
         }
     }
 
-    fn check_services(&self, faults: &mut Vec<Fault>) {
+    fn check_services(&self, errors: &mut Vec<ValidationError>) {
         if self.services.is_empty() {
-            faults.push(Fault::new("services", "needs at least one service"));
+            errors.push(ValidationError::new(
+                "services",
+                "needs at least one service",
+            ));
         }
         let mut seen = HashSet::new();
         for (i, service) in self.services.iter().enumerate() {
             let key = format!("services[{i}]");
             if !seen.insert(&service.name) {
                 let text = format!("`{}` stands twice", service.name);
-                faults.push(Fault::new(&format!("{key}.name"), &text));
+                errors.push(ValidationError::new(&format!("{key}.name"), &text));
             }
             if service.kinds.is_empty() {
-                faults.push(Fault::new(
+                errors.push(ValidationError::new(
                     &format!("{key}.kinds"),
                     "needs at least one kind",
                 ));
             }
-            service.check_kinds(&key, faults);
+            service.check_kinds(&key, errors);
         }
     }
 
-    fn check_teams(&self, faults: &mut Vec<Fault>) {
+    fn check_teams(&self, errors: &mut Vec<ValidationError>) {
         let mut seen = HashSet::new();
         for (i, team) in self.teams.iter().enumerate() {
             if !seen.insert(&team.name) {
                 let text = format!("`{}` stands twice", team.name);
-                faults.push(Fault::new(&format!("teams[{i}].name"), &text));
+                errors.push(ValidationError::new(&format!("teams[{i}].name"), &text));
             }
             if team.share == 0 {
-                faults.push(Fault::new(&format!("teams[{i}].share"), "must be above 0"));
+                errors.push(ValidationError::new(
+                    &format!("teams[{i}].share"),
+                    "must be above 0",
+                ));
             }
         }
     }
 
-    fn check_numbers(&self, faults: &mut Vec<Fault>) {
+    fn check_numbers(&self, errors: &mut Vec<ValidationError>) {
         let positive = [
             ("limits.body_bytes", self.limits.body_bytes as u64),
             ("limits.header_ms", self.limits.header_ms),
@@ -431,23 +436,26 @@
             ("policy.task_lease_ms", self.policy.task_lease_ms),
         ];
         let zero = positive.iter().filter(|(_, value)| *value == 0);
-        faults.extend(zero.map(|(key, _)| Fault::new(key, "must be above 0")));
+        errors.extend(zero.map(|(key, _)| ValidationError::new(key, "must be above 0")));
         if self.ownership.lease_ms < 3 * self.ownership.skew_ms {
             let text = "must be at least three times ownership.skew_ms";
-            faults.push(Fault::new("ownership.lease_ms", text));
+            errors.push(ValidationError::new("ownership.lease_ms", text));
         }
         if self.ownership.retention_ms < self.limits.deadline_ms.min(60_000) {
             let text = "must cover the longest deadline, up to a minute";
-            faults.push(Fault::new("ownership.retention_ms", text));
+            errors.push(ValidationError::new("ownership.retention_ms", text));
         }
         if self.policy.eject_cap_percent > 100 {
-            faults.push(Fault::new("policy.eject_cap_percent", "is a percentage"));
+            errors.push(ValidationError::new(
+                "policy.eject_cap_percent",
+                "is a percentage",
+            ));
         }
     }
 }
 
 impl Service {
-    /// The kind named `name`, or the first if there is no name.
+    /// Finds a kind by name; the first kind if `name` is absent.
     pub fn kind(&self, name: Option<&str>) -> Option<&Kind> {
         match name {
             Some(name) => self.kinds.iter().find(|kind| kind.name == name),
@@ -455,16 +463,19 @@
         }
     }
 
-    fn check_kinds(&self, key: &str, faults: &mut Vec<Fault>) {
+    fn check_kinds(&self, key: &str, errors: &mut Vec<ValidationError>) {
         let mut seen = HashSet::new();
         for (i, kind) in self.kinds.iter().enumerate() {
             let key = format!("{key}.kinds[{i}]");
             if !seen.insert(&kind.name) {
                 let text = format!("`{}` stands twice", kind.name);
-                faults.push(Fault::new(&format!("{key}.name"), &text));
+                errors.push(ValidationError::new(&format!("{key}.name"), &text));
             }
             if kind.deadline_ms == 0 {
-                faults.push(Fault::new(&format!("{key}.deadline_ms"), "must be above 0"));
+                errors.push(ValidationError::new(
+                    &format!("{key}.deadline_ms"),
+                    "must be above 0",
+                ));
             }
         }
     }
--- a/src/config_store.rs
+++ b/src/config_store.rs
@@ -1,8 +1,8 @@
-//! Changing the configuration in the store.
+//! Changes the configuration in the store.
 //!
-//! A change is one compare-and-swap of the record that holds both the document
-//! and its trail, so no change is without its entry. An answer that is lost is
-//! read back by the change's id, not repeated.
+//! The document and its history are one record, and a change is a compare-and-swap of it,
+//! so every change has a history entry. If a response is lost, the record is read again and
+//! searched for the change's id before the write is repeated.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,71 +13,70 @@
 use crate::store::{Expect, Store, StoreEntry, StoreError, StoreReply, StoreRequest};
 use crate::time::Timer;
 
-/// Tries before an operator is told that the store does not answer.
-const TRIES: u32 = 5;
-/// Wait between two tries.
-const RETRY: Duration = Duration::from_millis(200);
-/// Most characters of a difference that the trail keeps.
-const DIFFERENCE_KEPT: usize = 2_000;
+/// Maximum number of attempts per change.
+const MAX_ATTEMPTS: u32 = 5;
+const RETRY_DELAY: Duration = Duration::from_millis(200);
+/// Maximum number of characters of a difference in the history.
+const MAX_DIFFERENCE_CHARS: usize = 2_000;
 
-/// What a change does.
+/// Content of a change.
 #[derive(Clone, Debug)]
 pub enum Edit {
-    /// Replaces the document, if it is still at revision `base`.
+    /// Replaces the document if it is at revision `base`.
     Document {
-        /// Revision that the operator saw; 0 for none.
+        /// Revision that the operator edited; 0 if there was no document.
         base: u64,
         /// The new document.
         document: String,
     },
-    /// Drains a target, or ends its drain; the document stays.
+    /// Drains a target, or ends its drain; does not change the document.
     Drain {
         /// Name of the target.
         target: String,
-        /// Whether it is drained from now on.
+        /// Whether the target is drained.
         drained: bool,
     },
-    /// Evacuates a failure domain, or takes it back; the document stays.
+    /// Evacuates a failure domain, or ends its evacuation; does not change the document.
     Evacuate {
         /// Name of the domain.
         domain: String,
-        /// Whether it is evacuated from now on.
+        /// Whether the domain is evacuated.
         evacuated: bool,
     },
 }
 
-/// A change that an operator proposes.
+/// Change requested by an operator.
 #[derive(Clone, Debug)]
 pub struct Proposal {
-    /// What it does.
+    /// Content of the change.
     pub edit: Edit,
-    /// Who proposes it.
+    /// Name of the operator.
     pub who: String,
-    /// What it is for.
+    /// Reason for the change.
     pub note: String,
-    /// Names it; the same id is accepted once.
+    /// Idempotency key of the change.
     pub change_id: String,
 }
 
-enum Written {
-    Yes(u64),
-    Raced,
-    Unsure,
+enum WriteOutcome {
+    Written(u64),
+    Conflict,
+    Unknown,
 }
 
-/// The configuration in the store.
+/// Access to the configuration in the store.
 pub struct ConfigStore {
     store: Arc<dyn Store>,
     timer: Timer,
 }
 
 impl ConfigStore {
-    /// The configuration in `store`.
+    /// Creates access to the configuration in `store`.
     pub fn new(store: Arc<dyn Store>, timer: Timer) -> ConfigStore {
         ConfigStore { store, timer }
     }
 
-    /// The record and its revision in the store.
+    /// Reads the record and its store revision.
     pub async fn read(&self) -> Result<Option<(ConfigRecord, u64)>> {
         let prefix = CONFIG_KEY.to_string();
         match self.store.call(StoreRequest::Get { prefix }).await? {
@@ -86,20 +85,20 @@
         }
     }
 
-    /// Makes a change; gives its revision.
+    /// Applies a change and returns its revision.
     ///
     /// # Errors
-    /// [`Error::Conflict`] if somebody else was first, [`Error::Invalid`] if
-    /// the document is wrong, [`Error::Store`] if the store does not answer.
+    /// [`Error::Conflict`] if another change was applied first, [`Error::Invalid`] if the
+    /// document is invalid, [`Error::Store`] if the store does not answer.
     pub async fn propose(&self, proposal: &Proposal) -> Result<u64> {
         let mut failure = Error::Store(StoreError::Unanswered);
-        for attempt in 0..TRIES {
+        for attempt in 0..MAX_ATTEMPTS {
             if attempt > 0 {
-                self.timer.sleep(RETRY).await;
+                self.timer.sleep(RETRY_DELAY).await;
             }
-            match self.try_once(proposal).await {
-                Ok(Written::Yes(revision)) => return Ok(revision),
-                Ok(Written::Raced | Written::Unsure) => {}
+            match self.attempt_change(proposal).await {
+                Ok(WriteOutcome::Written(revision)) => return Ok(revision),
+                Ok(WriteOutcome::Conflict | WriteOutcome::Unknown) => {}
                 Err(Error::Store(err)) => failure = Error::Store(err),
                 Err(err) => return Err(err),
             }
@@ -107,11 +106,13 @@
         Err(failure)
     }
 
-    async fn try_once(&self, proposal: &Proposal) -> Result<Written> {
+    async fn attempt_change(&self, proposal: &Proposal) -> Result<WriteOutcome> {
         let current = self.read().await?;
         let record = current.as_ref().map(|(record, _)| record);
-        if let Some(revision) = record.and_then(|record| accepted(record, &proposal.change_id)) {
-            return Ok(Written::Yes(revision));
+        if let Some(revision) =
+            record.and_then(|record| revision_of_change(record, &proposal.change_id))
+        {
+            return Ok(WriteOutcome::Written(revision));
         }
         let next = next_record(record, proposal, self.timer.now().wall_ms)?;
         let expect = match &current {
@@ -121,7 +122,7 @@
         self.write(&next, expect).await
     }
 
-    async fn write(&self, record: &ConfigRecord, expect: Expect) -> Result<Written> {
+    async fn write(&self, record: &ConfigRecord, expect: Expect) -> Result<WriteOutcome> {
         let value = serde_json::to_vec(record).map_err(|err| Error::Other(err.to_string()))?;
         let request = StoreRequest::Put {
             key: CONFIG_KEY.to_string(),
@@ -130,9 +131,9 @@
             lease: None,
         };
         match self.store.call(request).await {
-            Ok(StoreReply::Written { .. }) => Ok(Written::Yes(record.revision)),
-            Ok(StoreReply::Conflict { .. }) => Ok(Written::Raced),
-            _ => Ok(Written::Unsure),
+            Ok(StoreReply::Written { .. }) => Ok(WriteOutcome::Written(record.revision)),
+            Ok(StoreReply::Conflict { .. }) => Ok(WriteOutcome::Conflict),
+            _ => Ok(WriteOutcome::Unknown),
         }
     }
 }
@@ -142,8 +143,8 @@
     Some((record, entry.revision))
 }
 
-/// The revision that a change made, if it is in the trail.
-fn accepted(record: &ConfigRecord, change_id: &str) -> Option<u64> {
+/// Revision of a change, if the history contains it.
+fn revision_of_change(record: &ConfigRecord, change_id: &str) -> Option<u64> {
     let change = record
         .changes
         .iter()
@@ -169,12 +170,12 @@
     let difference = match &proposal.edit {
         Edit::Document { base, document } => replace_document(&before, &mut next, *base, document)?,
         Edit::Drain { target, drained } => {
-            let change = set(&mut next.drained, target, *drained);
+            let change = set_listed(&mut next.drained, target, *drained);
             format!("{change}drained: {target}")
         }
         Edit::Evacuate { domain, evacuated } => {
             check_domain(&before, domain)?;
-            let change = set(&mut next.evacuated, domain, *evacuated);
+            let change = set_listed(&mut next.evacuated, domain, *evacuated);
             format!("{change}evacuated: {domain}")
         }
     };
@@ -184,10 +185,10 @@
         who: proposal.who.clone(),
         at_ms: wall_ms,
         note: proposal.note.clone(),
-        difference: difference.chars().take(DIFFERENCE_KEPT).collect(),
+        difference: difference.chars().take(MAX_DIFFERENCE_CHARS).collect(),
     });
-    let surplus = next.changes.len().saturating_sub(MAX_CHANGES);
-    next.changes.drain(..surplus);
+    let excess = next.changes.len().saturating_sub(MAX_CHANGES);
+    next.changes.drain(..excess);
     Ok(next)
 }
 
@@ -216,8 +217,8 @@
     Ok(difference(&before.document, document))
 }
 
-/// Puts a name on a list or takes it off; returns the sign of that for the trail.
-fn set(names: &mut Vec<String>, name: &str, listed: bool) -> char {
+/// Adds or removes a name; returns the sign of the change for the history.
+fn set_listed(names: &mut Vec<String>, name: &str, listed: bool) -> char {
     names.retain(|other| other != name);
     if !listed {
         return '-';
@@ -226,7 +227,7 @@
     '+'
 }
 
-/// That the configuration in force knows a failure domain.
+/// Fails if the current document has no such failure domain.
 fn check_domain(record: &ConfigRecord, domain: &str) -> Result<()> {
     let config = Config::from_yaml(&record.document)?;
     match config.region_of(domain) {
@@ -237,14 +238,14 @@
     }
 }
 
-/// Lines that only one of two documents has.
+/// Lines that occur in only one of two documents.
 fn difference(before: &str, after: &str) -> String {
-    let only = |lines: &str, other: &str, sign: char| -> Vec<String> {
+    let lines_missing_from = |lines: &str, other: &str, sign: char| -> Vec<String> {
         let other: std::collections::HashSet<&str> = other.lines().collect();
-        let alone = lines.lines().filter(|line| !other.contains(line));
-        alone.map(|line| format!("{sign}{line}")).collect()
+        let unmatched = lines.lines().filter(|line| !other.contains(line));
+        unmatched.map(|line| format!("{sign}{line}")).collect()
     };
-    let mut lines = only(before, after, '-');
-    lines.extend(only(after, before, '+'));
+    let mut lines = lines_missing_from(before, after, '-');
+    lines.extend(lines_missing_from(after, before, '+'));
     lines.join("\n")
 }
--- a/src/counted_store.rs
+++ b/src/counted_store.rs
@@ -1,18 +1,18 @@
-//! A store whose calls are counted by kind.
+//! Store wrapper that counts calls by kind.
 
 use std::sync::Arc;
 
 use crate::metrics::Metrics;
 use crate::store::{Store, StoreFuture, StoreRequest};
 
-/// Passes calls on and counts them.
+/// Forwards calls to a store and counts them.
 pub struct CountedStore {
     store: Arc<dyn Store>,
     metrics: Metrics,
 }
 
 impl CountedStore {
-    /// Counts the calls to `store`.
+    /// Wraps `store`.
     pub fn new(store: Arc<dyn Store>, metrics: Metrics) -> CountedStore {
         CountedStore { store, metrics }
     }
--- a/src/daemon.rs
+++ b/src/daemon.rs
@@ -1,4 +1,4 @@
-//! What the two daemons share: settings from a file, and a run until a signal.
+//! Runs the daemons: reads their settings from a file and stops them on a signal.
 
 use std::path::Path;
 use std::sync::Arc;
@@ -9,15 +9,15 @@
 use crate::logging;
 use crate::metrics::Metrics;
 use crate::settings::{AgentSettings, EntrySettings};
-use crate::signal::asked_to_stop;
+use crate::signal::wait_for_stop_signal;
 use crate::store_client::StoreClient;
-use crate::supervisor::{Stop, Stopper};
+use crate::supervisor::{StopSignal, Stopper};
 use crate::time::Timer;
 use crate::worker::HttpWorker;
 
 /// Runs an agent with the settings in `path`.
 pub fn run_agent(path: &Path) -> Result<()> {
-    let settings = AgentSettings::from_yaml(&read(path)?)?;
+    let settings = AgentSettings::from_yaml(&read_file(path)?)?;
     block_on(async move {
         let timer = Timer::start();
         let store = Arc::new(StoreClient::new(settings.process.store, timer.clone())?);
@@ -33,7 +33,7 @@
 
 /// Runs an entry with the settings in `path`.
 pub fn run_entry(path: &Path) -> Result<()> {
-    let settings = EntrySettings::from_yaml(&read(path)?)?;
+    let settings = EntrySettings::from_yaml(&read_file(path)?)?;
     block_on(async move {
         let timer = Timer::start();
         let store = Arc::new(StoreClient::new(settings.process.store, timer.clone())?);
@@ -50,7 +50,7 @@
     })
 }
 
-fn read(path: &Path) -> Result<String> {
+fn read_file(path: &Path) -> Result<String> {
     let text = std::fs::read_to_string(path);
     text.map_err(|err| Error::Invalid(vec![format!("{}: {err}", path.display())]))
 }
@@ -62,10 +62,10 @@
     runtime.block_on(process)
 }
 
-fn stop_on_signal() -> Stop {
+fn stop_on_signal() -> StopSignal {
     let (stopper, stop) = Stopper::new();
     tokio::spawn(async move {
-        if asked_to_stop().await.is_ok() {
+        if wait_for_stop_signal().await.is_ok() {
             stopper.stop();
         }
     });
--- a/src/document.rs
+++ b/src/document.rs
@@ -1,31 +1,30 @@
-//! Reading YAML so that every fault names its key and its line.
+//! Parses YAML and reports errors with their key and line.
 //!
-//! Unknown keys are all reported together with one type error, if there is
-//! one; a document whose types are right then gets all the faults of meaning
-//! that its owner finds.
+//! [`parse`] reports all unknown keys, and the first type error if there is one. Callers
+//! validate the values of the parsed document and report all errors with [`ensure_valid`].
 
 use marked_yaml::Node;
 use serde::de::DeserializeOwned;
 
 use crate::error::{Error, Result};
 
-/// One thing that is wrong with a document.
+/// Error in a document.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Fault {
+pub struct ValidationError {
     key: String,
     text: String,
 }
 
-impl Fault {
-    /// A fault at `key`, a path such as `services[0].kinds[1].name`.
-    pub fn new(key: &str, text: &str) -> Fault {
-        Fault {
+impl ValidationError {
+    /// Creates an error at `key`, a path such as `services[0].kinds[1].name`.
+    pub fn new(key: &str, text: &str) -> ValidationError {
+        ValidationError {
             key: key.to_string(),
             text: text.to_string(),
         }
     }
 
-    fn line_of(&self, document: &str) -> String {
+    fn describe(&self, document: &str) -> String {
         match find_line(document, &self.key) {
             Some(line) => format!("line {line}: {}: {}", self.key, self.text),
             None => format!("{}: {}", self.key, self.text),
@@ -33,7 +32,7 @@
     }
 }
 
-/// Reads a document; unknown keys are faults.
+/// Parses a document; unknown keys are errors.
 pub fn parse<T: DeserializeOwned>(document: &str) -> Result<T> {
     let mut unknown = Vec::new();
     let mut on_unknown = |path: serde_ignored::Path<'_>| unknown.push(key_path(&path.to_string()));
@@ -41,36 +40,41 @@
     let mut track = serde_path_to_error::Track::new();
     let yaml = serde_path_to_error::Deserializer::new(yaml, &mut track);
     let parsed = serde_ignored::deserialize(yaml, &mut on_unknown);
-    let mut faults: Vec<Fault> = unknown
+    let mut errors: Vec<ValidationError> = unknown
         .iter()
-        .map(|key| Fault::new(key, "unknown key"))
+        .map(|key| ValidationError::new(key, "unknown key"))
         .collect();
     match parsed {
         Ok(value) => {
-            reject(document, &faults)?;
+            ensure_valid(document, &errors)?;
             Ok(value)
         }
         Err(err) => {
             let key = track.path().to_string();
-            faults.push(Fault::new(&key, &err.to_string()));
-            Err(invalid(document, &faults))
+            errors.push(ValidationError::new(&key, &err.to_string()));
+            Err(invalid(document, &errors))
         }
     }
 }
 
-/// Fails with all `faults` if there are any.
-pub fn reject(document: &str, faults: &[Fault]) -> Result<()> {
-    if faults.is_empty() {
+/// Fails if `errors` is not empty.
+pub fn ensure_valid(document: &str, errors: &[ValidationError]) -> Result<()> {
+    if errors.is_empty() {
         return Ok(());
     }
-    Err(invalid(document, faults))
+    Err(invalid(document, errors))
 }
 
-fn invalid(document: &str, faults: &[Fault]) -> Error {
-    Error::Invalid(faults.iter().map(|fault| fault.line_of(document)).collect())
+fn invalid(document: &str, errors: &[ValidationError]) -> Error {
+    Error::Invalid(
+        errors
+            .iter()
+            .map(|error| error.describe(document))
+            .collect(),
+    )
 }
 
-/// Turns `a.0.b` into `a[0].b`.
+/// Converts `a.0.b` to `a[0].b`.
 fn key_path(dotted: &str) -> String {
     let mut key = String::new();
     for part in dotted.split('.').filter(|part| *part != "?") {
--- a/src/entry/http.rs
+++ b/src/entry/http.rs
@@ -25,7 +25,7 @@
 use crate::error::Result;
 use crate::id::SubmissionId;
 use crate::message::{Answer, Operation, Submission};
-use crate::supervisor::Stop;
+use crate::supervisor::StopSignal;
 
 /// Header with the id of a submission on its answer.
 const ANSWER_ID: &str = "winghold-id";
@@ -44,11 +44,11 @@
 pub(crate) type Reply = Response<Full<Bytes>>;
 
 /// Serves until `stop`, then closes connections as they become idle.
-pub(crate) async fn serve(listener: TcpListener, handle: Handle, stop: Stop) -> Result<()> {
+pub(crate) async fn serve(listener: TcpListener, handle: Handle, stop: StopSignal) -> Result<()> {
     let graceful = GracefulShutdown::new();
     let connections = handle.view().config.limits.connections;
     let permits = Arc::new(Semaphore::new(connections));
-    let stopped = stop.asked();
+    let stopped = stop.requested();
     tokio::pin!(stopped);
     loop {
         let accepted = tokio::select! {
@@ -77,7 +77,7 @@
         }
     }
     drop(listener);
-    handle.timer.within(CLOSING, graceful.shutdown()).await;
+    handle.timer.timeout(CLOSING, graceful.shutdown()).await;
     Ok(())
 }
 
@@ -200,7 +200,7 @@
     }
     let reading = Limited::new(body, most).collect();
     let limit = Duration::from_millis(limits.body_ms);
-    match handle.timer.within(limit, reading).await {
+    match handle.timer.timeout(limit, reading).await {
         None => Err(refuse(ResultCode::SlowCaller, "body: sent too slowly")),
         Some(Ok(body)) => Ok(body.to_bytes()),
         Some(Err(err)) if err.is::<LengthLimitError>() => Err(too_large()),
--- a/src/entry/mod.rs
+++ b/src/entry/mod.rs
@@ -30,7 +30,7 @@
 use crate::router::{Router, RouterAction};
 use crate::settings::EntrySettings;
 use crate::store::{Store, StoreReply};
-use crate::supervisor::{Stop, Stopper, Supervisor};
+use crate::supervisor::{StopSignal, Stopper, Supervisor};
 use crate::time::{Moment, Timer};
 
 /// Most events that are handled before frames leave.
@@ -280,7 +280,7 @@
     }
 
     /// Runs until `stop`, then answers what is under way and ends.
-    pub async fn run(self, stop: Stop) -> Result<()> {
+    pub async fn run(self, stop: StopSignal) -> Result<()> {
         let core = self.core;
         let handle = self.handle;
         let (timer, log) = (core.node.timer.clone(), core.node.log.clone());
@@ -288,12 +288,12 @@
         let (http_stopper, http_stop) = Stopper::new();
         let mut tree = Supervisor::new(log.clone(), timer.clone());
         let peer_listener = self.peer_listener;
-        tree.vital("peers", async move {
+        tree.spawn_critical("peers", async move {
             links.serve(peer_listener, std::future::pending()).await
         });
         let (store, watch_timer, watch_tx) =
             (handle.store.clone(), timer.clone(), handle.tx.clone());
-        tree.restarting("watch", move || {
+        tree.spawn_restarting("watch", move || {
             let watch = watch_store(
                 store.clone(),
                 watch_timer.clone(),
@@ -312,7 +312,7 @@
             handle.tx.clone(),
         ));
         let serving = tokio::spawn(http::serve(self.http_listener, handle, http_stop));
-        tree.vital("core", async move {
+        tree.spawn_critical("core", async move {
             core.run(self.events, http_stopper).await;
             let _ = serving.await;
             Ok(())
--- a/src/ephemeral/agent.rs
+++ b/src/ephemeral/agent.rs
@@ -139,7 +139,7 @@
         loop {
             let pause = self.gate.longest_pause(self.parts.timer.now());
             let timer = self.parts.timer.clone();
-            let event = timer.within(pause, self.rx.recv()).await.flatten();
+            let event = timer.timeout(pause, self.rx.recv()).await.flatten();
             let now = self.parts.timer.now();
             if let Some(gap) = suspension.turn(now) {
                 warn!(self.parts.log, "process was suspended"; "gap_ms" => gap.as_millis() as u64);
--- a/src/ephemeral/directory/publish.rs
+++ b/src/ephemeral/directory/publish.rs
@@ -59,7 +59,7 @@
             Err(_) => MAX_RETRY_PAUSE.min(retry_pause * 2),
         };
         // A change is written without waiting for the next renewal.
-        let _ = timer.within(pause, published.changed()).await;
+        let _ = timer.timeout(pause, published.changed()).await;
     }
 }
 
--- a/src/ephemeral/entry/handle.rs
+++ b/src/ephemeral/entry/handle.rs
@@ -83,7 +83,7 @@
     pub async fn wait_for_table(&self) -> Arc<RouteTable> {
         let mut table = self.table.clone();
         let known = table.wait_for(|table| table.version > 0);
-        match self.timer.within(FIRST_CONFIG_TIMEOUT, known).await {
+        match self.timer.timeout(FIRST_CONFIG_TIMEOUT, known).await {
             Some(Ok(table)) => table.clone(),
             // Timed out, or the entry has ended.
             _ => self.table(),
--- a/src/ephemeral/entry/mod.rs
+++ b/src/ephemeral/entry/mod.rs
@@ -124,7 +124,7 @@
     /// Runs until the process ends.
     pub async fn run(mut self) {
         self.follow_store();
-        let mut ticks = self.parts.timer.every(TICK_INTERVAL);
+        let mut ticks = self.parts.timer.interval(TICK_INTERVAL);
         loop {
             let event = tokio::select! {
                 event = self.rx.recv() => event,
--- a/src/ephemeral/follower.rs
+++ b/src/ephemeral/follower.rs
@@ -197,7 +197,7 @@
             let watching =
                 self.watch_until_failure(keys, &mut snapshot, &mut availability, &mut deliver);
             let ended = match keys.leased {
-                true => self.timer.within(REREAD_INTERVAL, watching).await,
+                true => self.timer.timeout(REREAD_INTERVAL, watching).await,
                 false => Some(watching.await),
             };
             match ended {
@@ -244,7 +244,7 @@
             }
             if keys.leased {
                 let next_us = started.after(MIN_WATCH_INTERVAL);
-                self.timer.sleep(self.timer.now().left(next_us)).await;
+                self.timer.sleep(self.timer.now().remaining(next_us)).await;
             }
         }
     }
--- a/src/ephemeral/gate/pause.rs
+++ b/src/ephemeral/gate/pause.rs
@@ -26,7 +26,7 @@
         };
         let owners = self.owners.iter();
         let due_us = owners.map(|(entry, owner)| self.owner_due_us(now, entry, owner));
-        let next = due_us.min().map_or(longest, |due_us| now.left(due_us));
+        let next = due_us.min().map_or(longest, |due_us| now.remaining(due_us));
         next.min(longest)
     }
 
--- a/src/ephemeral/session.rs
+++ b/src/ephemeral/session.rs
@@ -198,7 +198,7 @@
 
 /// Connects to a gate within `timeout`.
 pub async fn connect(timer: &Timer, addr: SocketAddr, timeout: Duration) -> Option<TcpStream> {
-    let connecting = timer.within(timeout, TcpStream::connect(addr)).await;
+    let connecting = timer.timeout(timeout, TcpStream::connect(addr)).await;
     connecting.and_then(Result::ok)
 }
 
--- a/src/error.rs
+++ b/src/error.rs
@@ -1,51 +1,50 @@
-//! The library's one error type.
+//! Error type of the library.
 //!
-//! These are failures of a process: settings it cannot use, a store it cannot
-//! reach, a port it cannot bind. What a caller is told about a submission is a
-//! [`crate::code::ResultCode`] instead.
+//! Covers failures of a process, such as invalid settings, an unreachable store or a port
+//! that cannot be bound. Results of submissions are [`crate::code::ResultCode`]s.
 
 use quick_error::quick_error;
 
-/// Result of any fallible call of this crate.
+/// Result type of this crate.
 pub type Result<T> = std::result::Result<T, Error>;
 
 quick_error! {
-    /// Why a call failed.
+    /// Error of a call.
     #[derive(Debug)]
     pub enum Error {
-        /// A file could not be read or written, or a socket not used.
+        /// A file or socket operation failed.
         Io(err: std::io::Error) {
             from()
             source(err)
             display("{}", err)
         }
-        /// An address of the settings cannot be listened on; the key names it.
+        /// The address under a key of the settings cannot be bound.
         Listen(key: &'static str, addr: std::net::SocketAddr, err: std::io::Error) {
             source(err)
             display("{}: cannot listen on {}: {}", key, addr, err)
         }
-        /// Settings or a configuration are wrong; one line a fault.
-        Invalid(faults: Vec<String>) {
-            display("{}", faults.join("\n"))
+        /// Settings or a configuration are invalid; one line per error.
+        Invalid(errors: Vec<String>) {
+            display("{}", errors.join("\n"))
         }
-        /// An id is no UUIDv7.
+        /// An id is not a UUIDv7.
         BadId(text: String) {
             display("id: `{}` is no UUIDv7", text)
         }
-        /// The store refused or did not answer.
+        /// A call to the store failed.
         Store(err: crate::store::StoreError) {
             from()
             display("store: {}", err)
         }
-        /// A peer, an entry or a target could not be reached.
+        /// A peer, entry or target is unreachable.
         Unreachable(what: String) {
             display("unreachable: {}", what)
         }
-        /// Someone else changed the configuration first.
+        /// Another change of the configuration was applied first.
         Conflict(current: u64) {
             display("conflict: the configuration is at revision {} now", current)
         }
-        /// A query does not parse; the column counts from 1.
+        /// A query cannot be parsed; columns start at 1.
         Query(column: usize, message: String) {
             display("query: column {}: {}", column, message)
         }
@@ -53,7 +52,7 @@
         Refused(code: crate::code::ResultCode, message: String) {
             display("{} {}: {}", code.number(), code.name(), message)
         }
-        /// Anything else, in words.
+        /// Any other error.
         Other(message: String) {
             display("{}", message)
         }
@@ -61,7 +60,7 @@
 }
 
 impl Error {
-    /// The process exit code for this error, listed in docs/RESULT-CODES.md.
+    /// Exit code of the process, as listed in docs/RESULT-CODES.md.
     pub fn exit_code(&self) -> u8 {
         match self {
             Error::Other(_) => 1,
--- a/src/fleet.rs
+++ b/src/fleet.rs
@@ -240,7 +240,8 @@
 
     /// Whether a member's target is drained or its failure domain evacuated.
     pub fn is_excluded(&self, record: &MemberRecord) -> bool {
-        self.config.bars(&record.id.name, &record.failure_domain)
+        self.config
+            .excludes(&record.id.name, &record.failure_domain)
     }
 
     /// Applies a configuration if it is valid and newer; returns whether it did.
--- a/src/gate/mod.rs
+++ b/src/gate/mod.rs
@@ -142,7 +142,7 @@
         self.retention = Duration::from_millis(config.ownership.retention_ms);
         self.stops_running = config.policy.cancel_stops_running;
         let settings = &self.settings;
-        self.drained = config.bars(&settings.me.name, &settings.failure_domain);
+        self.drained = config.excludes(&settings.me.name, &settings.failure_domain);
         self.queue
             .configure(config, self.settings.slots, fleet_slots);
     }
@@ -296,7 +296,7 @@
         }
         GateAction::Run {
             task,
-            budget_ms: now.left(queued.deadline_us).as_millis() as u64,
+            budget_ms: now.remaining(queued.deadline_us).as_millis() as u64,
             payload: queued.start.payload,
         }
     }
--- a/src/host.rs
+++ b/src/host.rs
@@ -12,7 +12,7 @@
 
 use crate::error::{Error, Result};
 use crate::node::MessageCounters;
-use crate::supervisor::{Stop, Stopper};
+use crate::supervisor::{StopSignal, Stopper};
 
 /// What a process tells when it is ready.
 pub struct Ready {
@@ -40,7 +40,7 @@
     /// Runs `process` on a thread; it reports its address when it is ready.
     pub fn start<F, M>(name: &str, process: M) -> Result<Host>
     where
-        M: FnOnce(Stop, Sender<Ready>) -> F + Send + 'static,
+        M: FnOnce(StopSignal, Sender<Ready>) -> F + Send + 'static,
         F: Future<Output = Result<()>>,
     {
         let (stopper, stop) = Stopper::new();
--- a/src/link.rs
+++ b/src/link.rs
@@ -148,7 +148,7 @@
     async fn deliver(&self, mut rx: UnboundedReceiver<(u64, Frame)>, delay: Duration) {
         while let Some((due_us, frame)) = rx.recv().await {
             if !delay.is_zero() {
-                let left = self.timer.now().left(due_us);
+                let left = self.timer.now().remaining(due_us);
                 self.timer.sleep(left).await;
             }
             self.notify(LinkEvent::Frame(Box::new(frame)));
--- a/src/logging.rs
+++ b/src/logging.rs
@@ -1,4 +1,4 @@
-//! Logs: one line of key=value pairs for each event.
+//! Loggers that write events as lines of `key=value` pairs.
 
 use std::io::{self, Write};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -19,7 +19,7 @@
     }
 }
 
-/// A logger to standard error for the process `name`.
+/// Creates a logger to standard error for the process `name`.
 pub fn logger(name: &str, level: LogLevel) -> Logger {
     let format = slog_logfmt::Logfmt::new(std::io::stderr()).set_prefix(write_time);
     let drain = format.print_level(true).print_msg(true).build().fuse();
@@ -36,54 +36,53 @@
     Ok(())
 }
 
-/// A logger that keeps nothing.
+/// Creates a logger that discards all events.
 pub fn discard() -> Logger {
     Logger::root(slog::Discard, o!())
 }
 
-/// Most bytes of lines that wait for the output; what comes beyond is counted
-/// and dropped, so that a reader that stands still never blocks the process.
-const WAITING_BYTES: usize = 512 << 10;
-/// How often waiting lines are written; one write for many lines costs a small
-/// share of a core far less.
-const WRITE_PAUSE: Duration = Duration::from_millis(100);
+/// Maximum size of the buffer. Further lines are dropped and counted, so that a stalled
+/// reader does not block the process.
+const MAX_BUFFER_BYTES: usize = 512 << 10;
+/// Interval between writes; batches lines to save CPU time.
+const FLUSH_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Lines on their way to standard output.
+/// Buffered log lines for standard output.
 #[derive(Clone, Default)]
 pub struct LogOutput {
-    waiting: Arc<Mutex<Waiting>>,
+    buffer: Arc<Mutex<Buffer>>,
 }
 
 #[derive(Default)]
-struct Waiting {
+struct Buffer {
     lines: Vec<u8>,
     dropped: u64,
 }
 
 impl LogOutput {
-    fn lock(&self) -> MutexGuard<'_, Waiting> {
-        self.waiting.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock(&self) -> MutexGuard<'_, Buffer> {
+        self.buffer.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Writes what waits; for the end of the process.
+    /// Writes buffered lines; to be called before the process exits.
     pub fn flush(&self) {
-        let mut waiting = std::mem::take(&mut *self.lock());
-        if waiting.dropped > 0 {
+        let mut buffer = std::mem::take(&mut *self.lock());
+        if buffer.dropped > 0 {
             let line = format!(
-                "level=WARN msg=\"lines dropped\" count={}\n",
-                waiting.dropped
+                "level=WARN msg=\"log lines dropped\" count={}\n",
+                buffer.dropped
             );
-            waiting.lines.extend(line.into_bytes());
+            buffer.lines.extend(line.into_bytes());
         }
         let mut out = io::stdout().lock();
-        // Nobody is left to be told that the output is closed.
-        let _ = out.write_all(&waiting.lines);
+        // A closed standard output cannot be reported anywhere.
+        let _ = out.write_all(&buffer.lines);
         let _ = out.flush();
     }
 
-    fn write_always(&self) {
+    fn flush_periodically(&self) {
         loop {
-            std::thread::sleep(WRITE_PAUSE);
+            std::thread::sleep(FLUSH_INTERVAL);
             if !self.lock().lines.is_empty() {
                 self.flush();
             }
@@ -93,10 +92,10 @@
 
 impl io::Write for LogOutput {
     fn write(&mut self, buf: &[u8]) -> io::Result<usize> {
-        let mut waiting = self.lock();
-        match waiting.lines.len() + buf.len() > WAITING_BYTES {
-            true => waiting.dropped += 1,
-            false => waiting.lines.extend_from_slice(buf),
+        let mut buffer = self.lock();
+        match buffer.lines.len() + buf.len() > MAX_BUFFER_BYTES {
+            true => buffer.dropped += 1,
+            false => buffer.lines.extend_from_slice(buf),
         }
         Ok(buf.len())
     }
@@ -106,16 +105,16 @@
     }
 }
 
-/// A logger to standard output for the process `name`: bounded, and never
-/// blocking whoever logs.
-pub fn to_stdout(name: &str, level: LogLevel) -> (Logger, LogOutput) {
+/// Creates a non-blocking logger with a bounded buffer to standard output for the process
+/// `name`.
+pub fn stdout_logger(name: &str, level: LogLevel) -> (Logger, LogOutput) {
     let output = LogOutput::default();
     let format = slog_logfmt::Logfmt::new(output.clone()).set_prefix(write_time);
     let drain = format.print_level(true).print_msg(true).build();
     let drain = Mutex::new(drain).fuse();
     let drain = drain.filter_level(level.level()).fuse();
     let writer = output.clone();
-    std::thread::spawn(move || writer.write_always());
+    std::thread::spawn(move || writer.flush_periodically());
     let log = Logger::root(drain, o!("process" => name.to_string()));
     (log, output)
 }
--- a/src/member.rs
+++ b/src/member.rs
@@ -5,7 +5,7 @@
 
 use std::time::Duration;
 
-use crate::clocks::Clocks;
+use crate::clocks::PeerClocks;
 use crate::fleet::{Fleet, FleetChanges, MemberRecord, Table};
 use crate::gate::{Gate, GateAction, GateSettings, RunResult};
 use crate::id::{MemberId, RangeId, TaskId};
@@ -81,7 +81,7 @@
     pub owner: Owner,
     /// Its lease and table updates.
     pub ownership: Ownership,
-    clocks: Clocks,
+    clocks: PeerClocks,
     id: MemberId,
     service: String,
     stopping: Option<Stopping>,
@@ -102,7 +102,7 @@
         Member {
             gate: Gate::new(gate, &config),
             owner: Owner::new(id.clone(), &record.failure_domain, config, seed),
-            clocks: Clocks::default(),
+            clocks: PeerClocks::default(),
             id,
             service: record.service.clone(),
             ownership: Ownership::new(record),
@@ -190,8 +190,8 @@
         if wall_ms == 0 {
             return;
         }
-        self.clocks.heard(now, from, wall_ms);
-        let skewed = self.clocks.is_off(fleet.config().ownership.skew_ms);
+        self.clocks.record(now, from, wall_ms);
+        let skewed = self.clocks.is_skewed(fleet.config().ownership.skew_ms);
         self.owner.set_clock_skewed(skewed);
     }
 
@@ -209,7 +209,7 @@
 
     /// Handles the end of a member's process.
     pub fn member_ended(&mut self, now: Moment, fleet: &Fleet, member: &MemberId) {
-        self.clocks.forget(member);
+        self.clocks.remove(member);
         let actions = self.owner.on_gate_gone(now, fleet, member);
         self.push_owner_actions(actions);
     }
--- a/src/metrics.rs
+++ b/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Metrics over UDP or kept in memory; docs/METRICS.md lists the names.
+//! Sends metrics over UDP or keeps them in memory; docs/METRICS.md lists their names.
 
 use std::collections::BTreeMap;
 use std::fmt::Write;
@@ -12,17 +12,17 @@
 
 use crate::error::{Error, Result};
 
-/// Prefix of every name.
+/// Prefix of metric names.
 const PREFIX: &str = "winghold";
 
-/// Sends counts, gauges and times.
+/// Records counters, gauges and durations.
 #[derive(Clone)]
 pub struct Metrics {
     client: Arc<StatsdClient>,
 }
 
 impl Metrics {
-    /// Sends nothing.
+    /// Discards all metrics.
     pub fn none() -> Metrics {
         let client = StatsdClient::from_sink(PREFIX, NopMetricSink);
         Metrics {
@@ -30,7 +30,7 @@
         }
     }
 
-    /// Sends to `addr`, or nowhere if there is none.
+    /// Sends metrics to `addr`; discards them if there is none.
     pub fn to(addr: Option<SocketAddr>) -> Result<Metrics> {
         let Some(addr) = addr else {
             return Ok(Metrics::none());
@@ -45,7 +45,7 @@
         })
     }
 
-    /// Keeps counts, gauges and histograms in `registry`.
+    /// Keeps metrics in `registry`.
     pub fn in_memory(registry: Registry) -> Metrics {
         Metrics {
             client: Arc::new(StatsdClient::from_sink(PREFIX, registry)),
@@ -62,31 +62,31 @@
         let _ = self.client.gauge(name, value);
     }
 
-    /// Notes how long something took.
+    /// Records a duration.
     pub fn time(&self, name: &str, ms: u64) {
         let _ = self.client.time(name, ms);
     }
 }
 
-/// Quantiles that a page shows.
+/// Quantiles of durations that are reported.
 const QUANTILES: [f64; 4] = [0.5, 0.9, 0.99, 1.0];
-/// Significant digits of a histogram.
-const DIGITS: u8 = 2;
+/// Precision of histograms.
+const SIGNIFICANT_DIGITS: u8 = 2;
 
 #[derive(Default)]
-struct Figures {
+struct Values {
     counters: BTreeMap<String, u64>,
     gauges: BTreeMap<String, u64>,
     times: BTreeMap<String, Histogram<u64>>,
 }
 
-impl Figures {
-    /// Takes in one line of statsd: `name:value|type`.
-    fn take(&mut self, line: &str) -> Option<()> {
-        let (name, rest) = line.split_once(':')?;
-        let mut parts = rest.split('|');
-        let value: u64 = parts.next()?.parse().ok()?;
-        match parts.next()? {
+impl Values {
+    /// Applies a StatsD line: `name:value|type`.
+    fn ingest(&mut self, line: &str) -> Option<()> {
+        let (name, fields_text) = line.split_once(':')?;
+        let mut fields = fields_text.split('|');
+        let value: u64 = fields.next()?.parse().ok()?;
+        match fields.next()? {
             "c" => *self.counters.entry(name.to_string()).or_default() += value,
             "g" => {
                 self.gauges.insert(name.to_string(), value);
@@ -98,29 +98,29 @@
 
     fn record(&mut self, name: &str, value: u64) -> Option<()> {
         if !self.times.contains_key(name) {
-            let empty = Histogram::new(DIGITS).ok()?;
+            let empty = Histogram::new(SIGNIFICANT_DIGITS).ok()?;
             self.times.insert(name.to_string(), empty);
         }
         self.times.get_mut(name)?.record(value).ok()
     }
 }
 
-/// Figures of this process, for a page that shows them.
+/// In-memory metrics of this process.
 #[derive(Clone, Default)]
 pub struct Registry {
-    figures: Arc<Mutex<Figures>>,
+    values: Arc<Mutex<Values>>,
 }
 
 impl Registry {
-    /// All figures as text, one a line.
-    pub fn page(&self) -> String {
-        let figures = self.figures.lock().unwrap_or_else(PoisonError::into_inner);
+    /// Formats all metrics as text, one per line.
+    pub fn render(&self) -> String {
+        let values = self.values.lock().unwrap_or_else(PoisonError::into_inner);
         let mut page = String::new();
-        for (name, value) in figures.counters.iter().chain(&figures.gauges) {
+        for (name, value) in values.counters.iter().chain(&values.gauges) {
             // Writing to a string cannot fail.
             let _ = writeln!(page, "{name} {value}");
         }
-        for (name, times) in &figures.times {
+        for (name, times) in &values.times {
             let _ = writeln!(page, "{name}_count {}", times.len());
             for quantile in QUANTILES {
                 let value = times.value_at_quantile(quantile);
@@ -133,9 +133,9 @@
 
 impl MetricSink for Registry {
     fn emit(&self, metric: &str) -> io::Result<usize> {
-        let mut figures = self.figures.lock().unwrap_or_else(PoisonError::into_inner);
-        figures
-            .take(metric)
+        let mut values = self.values.lock().unwrap_or_else(PoisonError::into_inner);
+        values
+            .ingest(metric)
             .map(|()| metric.len())
             .ok_or_else(|| io::Error::from(io::ErrorKind::InvalidData))
     }
--- a/src/node.rs
+++ b/src/node.rs
@@ -26,7 +26,7 @@
 use crate::metrics::Metrics;
 use crate::ownership::parse_table;
 use crate::store::{Store, StoreEntry, StoreError, StoreReply, StoreRequest};
-use crate::supervisor::Stop;
+use crate::supervisor::StopSignal;
 use crate::time::{Moment, Timer, micros};
 
 /// Interval of [`NodeEvent::Tick`].
@@ -350,11 +350,11 @@
 pub async fn forward_events<E: From<NodeEvent>>(
     timer: Timer,
     mut links: UnboundedReceiver<LinkEvent>,
-    stop: Stop,
+    stop: StopSignal,
     events: UnboundedSender<E>,
 ) {
-    let mut ticks = timer.every(TICK_INTERVAL);
-    let stopped = stop.asked();
+    let mut ticks = timer.interval(TICK_INTERVAL);
+    let stopped = stop.requested();
     tokio::pin!(stopped);
     let mut stop_sent = false;
     loop {
--- a/src/owner/dispatch.rs
+++ b/src/owner/dispatch.rs
@@ -255,7 +255,7 @@
             team: submission.team.clone(),
             priority: submission.priority,
             urgent: self.is_urgent(now, record),
-            budget_ms: now.left(record.deadline_us).as_millis() as u64,
+            budget_ms: now.remaining(record.deadline_us).as_millis() as u64,
             expected_us,
             attempt,
             payload: submission.tasks.get(task.index as usize)?.clone(),
--- a/src/owner/ranges.rs
+++ b/src/owner/ranges.rs
@@ -519,7 +519,7 @@
 
 fn handover_entry(now: Moment, record: &SubmissionRecord) -> HandoverEntry {
     let mut submission = record.submission.clone();
-    submission.budget_ms = now.left(record.deadline_us).as_millis() as u64;
+    submission.budget_ms = now.remaining(record.deadline_us).as_millis() as u64;
     let (next_attempt, recovered) = match &record.progress {
         Progress::Open { .. } => (record.next_attempt(), Vec::new()),
         Progress::Ended { next_attempt, .. } => (*next_attempt, Vec::new()),
--- a/src/query.rs
+++ b/src/query.rs
@@ -1,4 +1,4 @@
-//! The operators' query and command language.
+//! Parser of the operators' query and command language.
 //!
 //! ```text
 //! select name, running from targets where running > 3 order by running desc limit 5
@@ -25,26 +25,26 @@
 /// A row of a table.
 pub type Row = Map<String, Value>;
 
-/// Tables that can be asked for.
+/// Names of the tables.
 pub const TABLES: &[&str] = &[
     "requests", "jobs", "tasks", "steps", "targets", "workers", "members", "ranges", "services",
     "changes",
 ];
 
-/// What an operator says.
+/// Query or command of an operator.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Statement {
-    /// Rows of a table.
+    /// Query rows of a table.
     Select(Select),
-    /// Why a submission ran where it did, or why it was refused.
+    /// Explain the placement or rejection of a submission.
     Why(String),
     /// Submit a request.
     Submit {
-        /// Service.
+        /// Service name.
         service: String,
-        /// Kind of request.
+        /// Request kind.
         kind: String,
-        /// What the target gets.
+        /// Payload for the target.
         payload: String,
     },
     /// Cancel a submission.
@@ -55,66 +55,66 @@
     Undrain(String),
     /// Evacuate a failure domain.
     Evacuate(String),
-    /// Take a failure domain back.
+    /// End the evacuation of a failure domain.
     Unevacuate(String),
 }
 
-/// Rows of a table.
+/// Query for rows of a table.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Select {
-    /// Columns; all if empty.
+    /// Column names; all columns if empty.
     pub columns: Vec<String>,
-    /// Table.
+    /// Table name.
     pub table: String,
-    /// Conditions that all must hold.
+    /// Conditions that a row must satisfy.
     pub conditions: Vec<Condition>,
-    /// Column to order by, and whether the largest comes first.
+    /// Sort order.
     pub order: Option<Order>,
-    /// Most rows.
+    /// Maximum number of rows.
     pub limit: Option<usize>,
 }
 
-/// An order of rows.
+/// Sort order of rows.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Order {
-    /// Column.
+    /// Column name.
     pub column: String,
-    /// Whether the largest comes first.
+    /// Whether to sort in descending order.
     pub descending: bool,
 }
 
 /// A condition on a column.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Condition {
-    /// Column.
+    /// Column name.
     pub column: String,
-    /// How it is compared.
+    /// Comparison operator.
     pub comparison: Comparison,
-    /// With what.
+    /// Value to compare with.
     pub value: Value,
 }
 
-/// How two values are compared.
+/// Comparison operator.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Comparison {
     /// Equal.
     Equal,
     /// Not equal.
     NotEqual,
-    /// Less.
+    /// Less than.
     Less,
-    /// Less or equal.
+    /// Less than or equal.
     LessOrEqual,
-    /// Greater.
+    /// Greater than.
     Greater,
-    /// Greater or equal.
+    /// Greater than or equal.
     GreaterOrEqual,
-    /// Contains a text.
+    /// Contains a substring.
     Like,
 }
 
 impl Comparison {
-    fn holds(self, left: &Value, right: &Value) -> bool {
+    fn matches(self, left: &Value, right: &Value) -> bool {
         if self == Comparison::Like {
             return text(left).contains(&text(right));
         }
@@ -131,7 +131,7 @@
     }
 }
 
-/// A value as text, without quotes.
+/// Formats a value without quotes.
 pub fn text(value: &Value) -> String {
     match value {
         Value::Null => String::new(),
@@ -148,9 +148,9 @@
 }
 
 impl Select {
-    /// Applies conditions, order, limit and columns to the rows of the table.
+    /// Filters, sorts and limits rows, and selects their columns.
     pub fn apply(&self, rows: Vec<Row>) -> Vec<Row> {
-        let mut rows: Vec<Row> = rows.into_iter().filter(|row| self.wants(row)).collect();
+        let mut rows: Vec<Row> = rows.into_iter().filter(|row| self.matches(row)).collect();
         if let Some(order) = &self.order {
             rows.sort_by(|a, b| order.compare(a, b));
         }
@@ -158,10 +158,10 @@
         rows.into_iter().map(|row| self.project(row)).collect()
     }
 
-    fn wants(&self, row: &Row) -> bool {
+    fn matches(&self, row: &Row) -> bool {
         self.conditions.iter().all(|condition| {
             let value = row.get(&condition.column).unwrap_or(&Value::Null);
-            condition.comparison.holds(value, &condition.value)
+            condition.comparison.matches(value, &condition.value)
         })
     }
 
@@ -186,7 +186,7 @@
     }
 }
 
-/// Reads a statement.
+/// Parses a statement.
 ///
 /// ```
 /// use winghold::query::{Statement, parse};
@@ -196,12 +196,12 @@
 /// ```
 ///
 /// # Errors
-/// [`Error::Query`] with the column, counted from 1, at which it fails.
+/// [`Error::Query`] with the column of the error, counted from 1.
 pub fn parse(input: &str) -> Result<Statement> {
     let parsed = terminated(statement, (multispace0, opt(';'), multispace0, eof)).parse(input);
     let statement = parsed.map_err(|err| {
         let column = input[..err.offset()].chars().count() + 1;
-        Error::Query(column, expectation(err.inner()))
+        Error::Query(column, expected_message(err.inner()))
     })?;
     check_table(input, statement)
 }
@@ -218,7 +218,7 @@
     }
 }
 
-fn expectation(err: &ContextError) -> String {
+fn expected_message(err: &ContextError) -> String {
     let expected = err.context().find_map(|context| match context {
         StrContext::Expected(StrContextValue::Description(text)) => Some(*text),
         _ => None,
@@ -231,23 +231,23 @@
 }
 
 fn keyword<'i>(word: &'static str) -> impl ModalParser<&'i str, (), ContextError> {
-    (Caseless(word), not_word).void()
+    (Caseless(word), word_end).void()
 }
 
-fn not_word(input: &mut &str) -> ModalResult<()> {
-    let end = input.chars().next().is_none_or(|c| !is_word(c));
+fn word_end(input: &mut &str) -> ModalResult<()> {
+    let end = input.chars().next().is_none_or(|c| !is_word_char(c));
     match end {
         true => Ok(()),
         false => Err(winnow::error::ErrMode::Backtrack(ContextError::new())),
     }
 }
 
-fn is_word(c: char) -> bool {
+fn is_word_char(c: char) -> bool {
     c.is_ascii_alphanumeric() || matches!(c, '_' | '-' | '.')
 }
 
 fn word(input: &mut &str) -> ModalResult<String> {
-    take_while(1.., is_word)
+    take_while(1.., is_word_char)
         .map(str::to_string)
         .parse_next(input)
 }
@@ -353,7 +353,7 @@
 
 fn value(input: &mut &str) -> ModalResult<Value> {
     let quoted = delimited('\'', take_while(0.., |c| c != '\''), '\'');
-    let number = terminated(float::<_, f64, _>, not_word).map(Value::from);
+    let number = terminated(float::<_, f64, _>, word_end).map(Value::from);
     alt((
         quoted.map(Value::from),
         keyword("true").value(Value::Bool(true)),
--- a/src/router.rs
+++ b/src/router.rs
@@ -282,7 +282,7 @@
             Operation::Cancel => Message::Cancel { id },
             Operation::Lookup => Message::Lookup { id },
             Operation::Submit => {
-                let budget_ms = now.left(self.deadline_us).as_millis() as u64;
+                let budget_ms = now.remaining(self.deadline_us).as_millis() as u64;
                 let submission = Submission {
                     budget_ms,
                     ..self.submission.clone()
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -1,39 +1,39 @@
-//! The settings of one process: what it is, where it listens, whom it knows.
+//! Settings of a process: its identity and addresses.
 //!
-//! Read from YAML at start and never changed while the process runs. Whatever
-//! the whole fleet shares is in [`crate::config`] instead.
+//! Read from YAML at start and constant while the process runs. Settings shared by the fleet
+//! are in [`crate::config`].
 
 use std::net::SocketAddr;
 
 use serde::{Deserialize, Serialize};
 
-use crate::document::{self, Fault};
+use crate::document::{self, ValidationError};
 use crate::error::Result;
 
-/// What every process needs.
+/// Settings common to all processes.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Process {
-    /// Unique name of this process in the fleet.
+    /// Name of the process, unique in the fleet.
     pub name: String,
-    /// Failure domain that it runs in.
+    /// Failure domain of the process.
     pub failure_domain: String,
-    /// Rack that it runs in.
+    /// Rack of the process.
     #[serde(default)]
     pub rack: String,
-    /// Where other processes of the fleet reach it; port 0 takes a free one.
+    /// Listening address for peers; port 0 selects a free port.
     pub peer_listen: SocketAddr,
-    /// The platform's store.
+    /// Address of the platform's store.
     pub store: SocketAddr,
-    /// Peers asked for configuration and members while the store is down.
+    /// Addresses of peers that provide configuration and members while the store is down.
     #[serde(default)]
     pub seeds: Vec<SocketAddr>,
-    /// Least level that is logged.
+    /// Minimum log level.
     #[serde(default = "Process::default_log")]
     pub log: LogLevel,
-    /// Where metrics go over UDP; none if absent.
+    /// UDP address for metrics; none are sent if absent.
     #[serde(default)]
     pub metrics: Option<SocketAddr>,
-    /// Longest time that a stop may take.
+    /// Maximum duration of a shutdown.
     #[serde(default = "Process::default_stop_ms")]
     pub stop_ms: u64,
 }
@@ -47,7 +47,7 @@
         30_000
     }
 
-    fn faults(&self) -> Vec<Fault> {
+    fn errors(&self) -> Vec<ValidationError> {
         let named = [
             ("process.name", &self.name),
             ("process.failure_domain", &self.failure_domain),
@@ -55,39 +55,39 @@
         named
             .iter()
             .filter(|(_, value)| value.is_empty())
-            .map(|(key, _)| Fault::new(key, "must not be empty"))
+            .map(|(key, _)| ValidationError::new(key, "must not be empty"))
             .collect()
     }
 }
 
-/// Level of a log line.
+/// Log level.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum LogLevel {
-    /// Every decision.
+    /// Individual decisions.
     Debug,
-    /// Changes of state.
+    /// State changes.
     Info,
-    /// What an operator should look at.
+    /// Conditions that need an operator's attention.
     Warning,
-    /// Faults.
+    /// Errors.
     Error,
 }
 
 /// Settings of `winghold-entry`.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct EntrySettings {
-    /// What every process needs.
+    /// Settings common to all processes.
     pub process: Process,
-    /// Where callers and operators reach it; port 0 takes a free one.
+    /// Listening address for callers and operators; port 0 selects a free port.
     pub http_listen: SocketAddr,
 }
 
 impl EntrySettings {
-    /// Reads and checks a document.
+    /// Parses and validates a document.
     pub fn from_yaml(text: &str) -> Result<EntrySettings> {
         let settings: EntrySettings = document::parse(text)?;
-        document::reject(text, &settings.process.faults())?;
+        document::ensure_valid(text, &settings.process.errors())?;
         Ok(settings)
     }
 }
@@ -95,19 +95,19 @@
 /// Settings of `winghold-agent`.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct AgentSettings {
-    /// What every process needs.
+    /// Settings common to all processes.
     pub process: Process,
-    /// The service whose target this is.
+    /// Service of the target.
     pub service: String,
-    /// The target beside it.
+    /// Address of the local target.
     pub target: SocketAddr,
-    /// Tasks that the target runs at once.
+    /// Number of tasks that the target runs concurrently.
     #[serde(default = "AgentSettings::default_slots")]
     pub slots: u32,
-    /// Connections that the target takes.
+    /// Maximum number of connections to the target.
     #[serde(default = "AgentSettings::default_connections")]
     pub connections: u32,
-    /// Accelerators of the target's worker.
+    /// Number of accelerators of the target's worker.
     #[serde(default)]
     pub accelerators: u32,
 }
@@ -121,17 +121,20 @@
         64
     }
 
-    /// Reads and checks a document.
+    /// Parses and validates a document.
     pub fn from_yaml(text: &str) -> Result<AgentSettings> {
         let settings: AgentSettings = document::parse(text)?;
-        let mut faults = settings.process.faults();
+        let mut errors = settings.process.errors();
         if settings.slots == 0 {
-            faults.push(Fault::new("slots", "must be above 0"));
+            errors.push(ValidationError::new("slots", "must be above 0"));
         }
         if settings.connections < settings.slots {
-            faults.push(Fault::new("connections", "must be at least `slots`"));
+            errors.push(ValidationError::new(
+                "connections",
+                "must be at least `slots`",
+            ));
         }
-        document::reject(text, &faults)?;
+        document::ensure_valid(text, &errors)?;
         Ok(settings)
     }
 }
--- a/src/signal.rs
+++ b/src/signal.rs
@@ -1,11 +1,11 @@
-//! Signals that ask a process to stop.
+//! Waits for signals that request a shutdown.
 
 use tokio::signal::unix::{SignalKind, signal};
 
 use crate::error::Result;
 
-/// Returns once SIGTERM or SIGINT has come.
-pub async fn asked_to_stop() -> Result<()> {
+/// Waits for SIGTERM or SIGINT.
+pub async fn wait_for_stop_signal() -> Result<()> {
     let mut terminate = signal(SignalKind::terminate())?;
     let mut interrupt = signal(SignalKind::interrupt())?;
     tokio::select! {
--- a/src/standin/store.rs
+++ b/src/standin/store.rs
@@ -303,7 +303,7 @@
     }
 
     async fn expire_leases(&self) {
-        let mut ticks = self.shared.timer.every(Duration::from_millis(20));
+        let mut ticks = self.shared.timer.interval(Duration::from_millis(20));
         while ticks.recv().await.is_some() {
             let now = self.shared.timer.now();
             if self.state().expire(now) {
--- a/src/store.rs
+++ b/src/store.rs
@@ -1,8 +1,7 @@
-//! The platform's key-value store, as winghold uses it.
+//! Interface of the platform's key-value store.
 //!
-//! A call may fail after it took effect; [`StoreError::Unanswered`] says so,
-//! and whoever called reads back before it concludes anything. Revisions are
-//! the store's count of writes.
+//! A call that fails with [`StoreError::Unanswered`] may have taken effect, so its caller
+//! must read the key again. A revision is the store's write counter.
 
 use std::future::Future;
 use std::pin::Pin;
@@ -15,51 +14,50 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct LeaseId(pub u64);
 
-/// What a write expects to find under its key.
+/// Precondition of a write.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Expect {
-    /// Nothing.
+    /// The key does not exist.
     Absent,
-    /// The value written at this revision.
+    /// The key was last written at this revision.
     Revision(u64),
 }
 
 /// A call to the store.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum StoreRequest {
-    /// Reads every key with a prefix.
+    /// Reads all keys with a prefix.
     Get {
         /// The prefix.
         prefix: String,
     },
-    /// Waits until a key with the prefix changes after a revision; answered with the
-    /// changes, or with all entries by a store that does not tell changes or has
-    /// forgotten them.
+    /// Waits until a key with the prefix changes after a revision. Returns the changes, or
+    /// all entries if the store does not support changes or has compacted them.
     Watch {
         /// The prefix.
         prefix: String,
-        /// Revision already known.
+        /// Last revision known to the client.
         after: u64,
-        /// Longest wait in milliseconds.
+        /// Maximum wait in milliseconds.
         wait_ms: u64,
     },
-    /// Writes a key if it holds what is expected.
+    /// Writes a key if the precondition holds.
     Put {
         /// The key.
         key: String,
-        /// Its new value.
+        /// New value.
         value: Bytes,
-        /// What it must hold now.
+        /// Precondition.
         expect: Expect,
-        /// Lease with which it vanishes.
+        /// Lease whose end removes the key.
         lease: Option<LeaseId>,
     },
-    /// Starts a lease.
+    /// Grants a lease.
     Grant {
-        /// Its length in milliseconds.
+        /// Duration in milliseconds.
         ttl_ms: u64,
     },
-    /// Prolongs a lease.
+    /// Renews a lease.
     Renew {
         /// The lease.
         lease: LeaseId,
@@ -72,7 +70,7 @@
 }
 
 impl StoreRequest {
-    /// Its name among the metrics.
+    /// Name in metrics.
     pub fn name(&self) -> &'static str {
         match self {
             StoreRequest::Get { .. } => "get",
@@ -85,57 +83,57 @@
     }
 }
 
-/// One key of the store.
+/// Key and value in the store.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StoreEntry {
     /// The key.
     pub key: String,
-    /// Its value.
+    /// The value.
     pub value: Bytes,
-    /// Revision at which it was written.
+    /// Revision of the last write.
     pub revision: u64,
-    /// Lease with which it vanishes.
+    /// Lease whose end removes the key.
     pub lease: Option<LeaseId>,
 }
 
-/// What became of one key.
+/// Change of a key.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum StoreChange {
-    /// It was written.
+    /// The key was written.
     Written(StoreEntry),
-    /// It was removed, or its lease ended.
+    /// The key was removed, or its lease ended.
     Removed {
         /// The key.
         key: String,
     },
 }
 
-/// The store's answer.
+/// Reply of the store.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum StoreReply {
-    /// Keys at a revision of the store.
+    /// Entries at a revision of the store.
     Entries {
-        /// The store's revision.
+        /// Revision of the store.
         revision: u64,
-        /// The keys, in order.
+        /// The entries, sorted by key.
         entries: Vec<StoreEntry>,
     },
     /// Changes, oldest first.
     Changes {
-        /// Revision to watch from next: that of the last change, or the one already
-        /// known if there is none.
+        /// Revision to watch from next: that of the last change, or that of the request if
+        /// there is none.
         revision: u64,
         /// The changes.
         changes: Vec<StoreChange>,
     },
     /// The write took effect.
     Written {
-        /// Its revision.
+        /// Revision of the write.
         revision: u64,
     },
-    /// The key holds something else.
+    /// The precondition does not hold.
     Conflict {
-        /// What it holds, if anything.
+        /// Current entry, if the key exists.
         current: Option<StoreEntry>,
     },
     /// A lease was granted, renewed or ended.
@@ -143,21 +141,21 @@
         /// The lease.
         lease: LeaseId,
     },
-    /// The lease has run out.
+    /// The lease has expired.
     LeaseGone,
-    /// The call was over the store's rate and did nothing.
+    /// The call exceeded the store's rate limit and had no effect.
     RateLimited,
 }
 
 quick_error! {
-    /// Why a call to the store has no answer.
+    /// Error of a call to the store.
     #[derive(Debug, Clone, Copy, PartialEq, Eq)]
     pub enum StoreError {
-        /// Nothing came back; the call may have taken effect.
+        /// No reply arrived; the call may have taken effect.
         Unanswered {
             display("no answer; the call may have taken effect")
         }
-        /// The store took another kind of call than was made.
+        /// The reply does not match the call.
         Protocol {
             display("unexpected reply")
         }
@@ -168,7 +166,7 @@
 pub type StoreFuture<'a> =
     Pin<Box<dyn Future<Output = Result<StoreReply, StoreError>> + Send + 'a>>;
 
-/// The store.
+/// Client of the store.
 pub trait Store: Send + Sync {
     /// Makes one call.
     fn call(&self, req: StoreRequest) -> StoreFuture<'_>;
--- a/src/supervisor.rs
+++ b/src/supervisor.rs
@@ -1,8 +1,8 @@
-//! Supervision of a process's long-running parts.
+//! Supervises the long-running components of a process.
 //!
-//! A part either may restart, because it keeps nothing (a watch, a server), or
-//! is vital: when it ends, for whatever reason, the whole tree stops. Stopping
-//! is asked for once and told to every part.
+//! A stateless component, such as a watch or a server, is restarted when it ends. A critical
+//! component stops the whole process when it ends. A stop is requested once and signalled to
+//! all components.
 
 use std::future::Future;
 use std::time::Duration;
@@ -14,113 +14,112 @@
 use crate::error::{Error, Result};
 use crate::time::Timer;
 
-/// Wait before a part that failed is started again.
-const RESTART: Duration = Duration::from_millis(500);
+const RESTART_DELAY: Duration = Duration::from_millis(500);
 
-/// What the end of a part means.
+/// Consequence of a component's end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
-    /// It is started again.
-    Restarts,
-    /// The tree stops.
-    Vital,
+    /// The component is restarted.
+    Restartable,
+    /// All components stop.
+    Critical,
 }
 
-/// Tells a part that it should stop.
+/// Receiver of a stop request.
 #[derive(Clone, Debug)]
-pub struct Stop {
-    asked: watch::Receiver<bool>,
+pub struct StopSignal {
+    requested: watch::Receiver<bool>,
 }
 
-impl Stop {
-    /// Returns once stopping was asked for.
-    pub async fn asked(mut self) {
-        let _ = self.asked.wait_for(|asked| *asked).await;
+impl StopSignal {
+    /// Waits until a stop is requested.
+    pub async fn requested(mut self) {
+        let _ = self.requested.wait_for(|requested| *requested).await;
     }
 }
 
-/// Asks a tree to stop.
+/// Sender of a stop request.
 #[derive(Clone, Debug)]
 pub struct Stopper {
-    ask: watch::Sender<bool>,
+    sender: watch::Sender<bool>,
 }
 
 impl Stopper {
-    /// A stopper, and the signal for those it stops.
-    pub fn new() -> (Stopper, Stop) {
-        let (ask, asked) = watch::channel(false);
-        (Stopper { ask }, Stop { asked })
+    /// Creates a stopper and its signal.
+    pub fn new() -> (Stopper, StopSignal) {
+        let (sender, requested) = watch::channel(false);
+        (Stopper { sender }, StopSignal { requested })
     }
 
-    /// Asks for the stop.
+    /// Requests the stop.
     pub fn stop(&self) {
-        self.ask.send_replace(true);
+        self.sender.send_replace(true);
     }
 }
 
-struct Ended {
+struct ComponentEnd {
     name: &'static str,
     role: Role,
     result: Result<()>,
 }
 
-/// A supervisor and its parts.
+/// Runs components until a critical one ends.
 pub struct Supervisor {
     log: Logger,
     timer: Timer,
-    parts: JoinSet<Ended>,
+    components: JoinSet<ComponentEnd>,
 }
 
 impl Supervisor {
-    /// A supervisor without parts.
+    /// Creates a supervisor without components.
     pub fn new(log: Logger, timer: Timer) -> Supervisor {
         Supervisor {
             log,
             timer,
-            parts: JoinSet::new(),
+            components: JoinSet::new(),
         }
     }
 
-    /// Starts a vital part.
-    pub fn vital<F>(&mut self, name: &'static str, part: F)
+    /// Starts a critical component.
+    pub fn spawn_critical<F>(&mut self, name: &'static str, component: F)
     where
         F: Future<Output = Result<()>> + Send + 'static,
     {
-        let role = Role::Vital;
-        self.parts.spawn(async move {
-            let result = part.await;
-            Ended { name, role, result }
+        let role = Role::Critical;
+        self.components.spawn(async move {
+            let result = component.await;
+            ComponentEnd { name, role, result }
         });
     }
 
-    /// Starts a part that is made anew whenever it ends.
-    pub fn restarting<F, M>(&mut self, name: &'static str, make: M)
+    /// Starts a component that is restarted whenever it ends.
+    pub fn spawn_restarting<F, M>(&mut self, name: &'static str, start: M)
     where
         F: Future<Output = Result<()>> + Send + 'static,
         M: Fn() -> F + Send + 'static,
     {
         let timer = self.timer.clone();
         let log = self.log.clone();
-        self.parts.spawn(async move {
+        self.components.spawn(async move {
             loop {
-                let result = tokio::spawn(make()).await;
-                info!(log, "part restarts"; "part" => name, "failed" => result.is_err());
-                timer.sleep(RESTART).await;
+                let result = tokio::spawn(start()).await;
+                info!(log, "restarting component"; "component" => name, "failed" => result.is_err());
+                timer.sleep(RESTART_DELAY).await;
             }
         });
     }
 
-    /// Waits until a vital part ends, then drops the others.
+    /// Waits until a critical component ends, then aborts the others.
     pub async fn run(mut self) -> Result<()> {
-        while let Some(joined) = self.parts.join_next().await {
+        while let Some(joined) = self.components.join_next().await {
             match joined {
-                Ok(ended) if ended.role == Role::Vital => {
-                    info!(self.log, "part ended"; "part" => ended.name);
+                Ok(ended) if ended.role == Role::Critical => {
+                    info!(self.log, "component ended"; "component" => ended.name);
                     return ended.result;
                 }
                 Ok(_) => {}
                 Err(err) => {
-                    error!(self.log, "part failed"; "error" => %err);
+                    error!(self.log, "component failed"; "error" => %err);
                     return Err(Error::Other(err.to_string()));
                 }
             }
