--- a/src/time.rs
+++ b/src/time.rs
@@ -1,15 +1,10 @@
-//! Time: the moments that state machines are given, and the one timer service
-//! that the parts of a process subscribe to.
+//! Clock readings for state machines, and the timer of a process.
 //!
-//! State machines never read a clock. They are handed a [`Moment`], which holds
-//! a monotonic reading for leases and deadlines and a wall reading that only
-//! ever meets the times inside submission ids. The service keeps its own
-//! thread, because the runtime's timers round up to whole milliseconds and the
-//! bench delays links by half of one.
-//!
-//! The monotonic reading counts time in which the machine was suspended, which the
-//! system's usual steady clock leaves out: a process that wakes up has to know that its
-//! leases ran out and that what waited for it is old.
+//! State machines do not read clocks; they get a [`Moment`]. Its monotonic time is used for
+//! leases and deadlines, and its wall time only for comparison with submission ids. The
+//! monotonic time includes time in which the machine was suspended, so that leases and
+//! deadlines expire meanwhile. The timer has its own thread, as the runtime's timers round
+//! up to whole milliseconds.
 
 use std::cmp::Ordering;
 use std::collections::BinaryHeap;
@@ -19,28 +14,28 @@
 use rustix::time::{ClockId, clock_gettime};
 use tokio::sync::{mpsc, oneshot};
 
-/// One reading of both clocks.
+/// Reading of the monotonic and the wall clock.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Moment {
-    /// Monotonic microseconds since the process's own start.
+    /// Monotonic time in microseconds since the start of the process.
     pub mono_us: u64,
-    /// Wall clock in milliseconds since the Unix epoch.
+    /// Wall time in milliseconds since the Unix epoch.
     pub wall_ms: u64,
 }
 
 impl Moment {
-    /// The monotonic reading `span` after this moment, in microseconds.
+    /// Monotonic time `span` after this moment, in microseconds.
     pub fn after(&self, span: Duration) -> u64 {
         self.mono_us + micros(span)
     }
 
-    /// Time left until the monotonic reading `until_us`; zero once passed.
-    pub fn left(&self, until_us: u64) -> Duration {
+    /// Time remaining until the monotonic time `until_us`; zero if it has passed.
+    pub fn remaining(&self, until_us: u64) -> Duration {
         Duration::from_micros(until_us.saturating_sub(self.mono_us))
     }
 }
 
-/// A span in whole microseconds.
+/// Converts a duration to whole microseconds.
 pub fn micros(span: Duration) -> u64 {
     span.as_micros() as u64
 }
@@ -88,36 +83,36 @@
     }
 }
 
-/// The thread that fires alarms.
-struct Thread {
+/// Owner of the timer thread, which ends when this is dropped.
+struct TimerThread {
     shared: Arc<Shared>,
 }
 
-impl Drop for Thread {
+impl Drop for TimerThread {
     fn drop(&mut self) {
         self.shared.lock().closed = true;
         self.shared.changed.notify_one();
     }
 }
 
-/// A clock that only ever goes forward.
-pub trait SteadyClock: Send + Sync {
-    /// Time since an origin of its own.
+/// Clock that never goes backwards.
+pub trait MonotonicClock: Send + Sync {
+    /// Time since an arbitrary origin.
     fn read(&self) -> Duration;
 }
 
-/// The runtime's clock, which tests may pause.
+/// Clock of the tokio runtime, which tests can pause.
 struct RuntimeClock {
     start: tokio::time::Instant,
 }
 
-impl SteadyClock for RuntimeClock {
+impl MonotonicClock for RuntimeClock {
     fn read(&self) -> Duration {
         self.start.elapsed()
     }
 }
 
-/// The machine's clock since its boot, which goes on while it is suspended.
+/// Time since boot, which includes time in suspension.
 struct BootClock {
     start: Duration,
 }
@@ -130,7 +125,7 @@
     }
 }
 
-impl SteadyClock for BootClock {
+impl MonotonicClock for BootClock {
     fn read(&self) -> Duration {
         since_boot().saturating_sub(self.start)
     }
@@ -144,43 +139,43 @@
     )
 }
 
-/// Handle on the timer service; clones share it.
+/// Handle of the timer; clones share it.
 #[derive(Clone)]
 pub struct Timer {
-    clock: Arc<dyn SteadyClock>,
-    /// Absent where the runtime's own timers serve.
-    thread: Option<Arc<Thread>>,
+    clock: Arc<dyn MonotonicClock>,
+    /// Absent if the runtime's timers are used.
+    thread: Option<Arc<TimerThread>>,
 }
 
 impl Timer {
-    /// Starts the service.
+    /// Starts a timer with its own thread.
     pub fn start() -> Timer {
         let shared = Arc::new(Shared::default());
         let worker = shared.clone();
         std::thread::Builder::new()
             .name("timer".to_string())
-            .spawn(move || fire_alarms(&worker))
-            .expect("the timer thread starts");
+            .spawn(move || run_timer_thread(&worker))
+            .expect("the timer thread can be spawned");
         Timer {
             clock: Arc::new(BootClock::new()),
-            thread: Some(Arc::new(Thread { shared })),
+            thread: Some(Arc::new(TimerThread { shared })),
         }
     }
 
-    /// A service on the runtime's timers: whole milliseconds, and no thread to
-    /// wake, which a small share of a core pays for.
+    /// Creates a timer on the runtime's timers, which have millisecond resolution and save
+    /// the CPU time of a timer thread.
     pub fn coarse() -> Timer {
         Timer::on_clock(Arc::new(BootClock::new()))
     }
 
-    /// The same on the runtime's clock, for tests that pause it.
+    /// Creates a timer on the runtime's timers and clock, for tests that pause it.
     pub fn on_runtime_clock() -> Timer {
         let start = tokio::time::Instant::now();
         Timer::on_clock(Arc::new(RuntimeClock { start }))
     }
 
-    /// The same with moments of another clock.
-    pub fn on_clock(clock: Arc<dyn SteadyClock>) -> Timer {
+    /// Creates a timer on the runtime's timers with moments of `clock`.
+    pub fn on_clock(clock: Arc<dyn MonotonicClock>) -> Timer {
         Timer {
             clock,
             thread: None,
@@ -212,9 +207,9 @@
         let _ = rx.await;
     }
 
-    /// Subscribes to a tick every `period`; ticks that find the subscriber
-    /// busy are dropped.
-    pub fn every(&self, period: Duration) -> mpsc::Receiver<()> {
+    /// Creates a receiver of periodic ticks; a tick is dropped if the previous one has not
+    /// been received.
+    pub fn interval(&self, period: Duration) -> mpsc::Receiver<()> {
         let (tx, rx) = mpsc::channel(1);
         let timer = self.clone();
         tokio::spawn(async move {
@@ -226,9 +221,9 @@
         rx
     }
 
-    /// Runs `future` for at most `span`; `None` means that it took longer.
-    pub async fn within<F: Future>(&self, span: Duration, future: F) -> Option<F::Output> {
-        // Whoever wakes up late may find both: the output then counts.
+    /// Runs `future` for at most `span`; `None` if it takes longer.
+    pub async fn timeout<F: Future>(&self, span: Duration, future: F) -> Option<F::Output> {
+        // If both are ready after a late wake-up, the output is returned.
         tokio::select! {
             biased;
             output = future => Some(output),
@@ -237,7 +232,7 @@
     }
 }
 
-fn fire_alarms(shared: &Shared) {
+fn run_timer_thread(shared: &Shared) {
     let mut queue = shared.lock();
     while !queue.closed {
         let now = Instant::now();
@@ -249,12 +244,12 @@
                 queue
             }
             Some(at) => {
-                let waited = shared.changed.wait_timeout(queue, at - now);
-                waited.unwrap_or_else(PoisonError::into_inner).0
+                let wait = shared.changed.wait_timeout(queue, at - now);
+                wait.unwrap_or_else(PoisonError::into_inner).0
             }
             None => {
-                let waited = shared.changed.wait(queue);
-                waited.unwrap_or_else(PoisonError::into_inner)
+                let wait = shared.changed.wait(queue);
+                wait.unwrap_or_else(PoisonError::into_inner)
             }
         };
     }
--- a/tests/checker.rs
+++ b/tests/checker.rs
@@ -3,11 +3,11 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use winghold::bench::checker::{Promise, check};
+use winghold::bench::checker::{Guarantee, check};
 use winghold::bench::history::{
-    Attempt, ConfigAccepted, ConfigSeen, History, Leave, SubmissionRecord,
+    Attempt, ConfigChange, ConfigObservation, Departure, History, SubmissionRecord,
 };
-use winghold::bench::workload::Planned;
+use winghold::bench::workload::PlannedSubmission;
 use winghold::code::Effect;
 use winghold::config::Config;
 use winghold::standin::target::StartRecord;
@@ -15,7 +15,7 @@
 const CONFIG: &str = include_str!("../examples/logger-intake.yaml");
 
 fn record(id: &str, tasks: usize) -> SubmissionRecord {
-    let planned = Planned {
+    let planned = PlannedSubmission {
         at: Duration::ZERO,
         service: Arc::from("logger-intake"),
         kind: Arc::from("burst-check"),
@@ -28,10 +28,10 @@
         id: id.to_string(),
         planned,
         sent_us: 1_000,
-        done_us: 200_000,
+        ended_us: 200_000,
         attempts: vec![attempt("COMPLETE", Effect::Ran)],
         results: tasks,
-        own_results: true,
+        has_own_results: true,
         cancelled: false,
     }
 }
@@ -54,24 +54,24 @@
     }
 }
 
-fn broken(history: &History, starts: &[StartRecord]) -> Vec<Promise> {
+fn broken(history: &History, starts: &[StartRecord]) -> Vec<Guarantee> {
     let config = Config::from_yaml(CONFIG).expect("the example is valid");
     check(history, starts, &config)
         .iter()
-        .map(|one| one.promise)
+        .map(|one| one.guarantee)
         .collect()
 }
 
 fn one(record: SubmissionRecord) -> History {
     let history = History::default();
-    history.done(record);
+    history.record_submission(record);
     history
 }
 
 #[test]
 fn a_sound_history_breaks_nothing() {
     let history = one(record("a", 2));
-    history.set_only_planned(true);
+    history.set_only_planned_faults(true);
     let starts = [start("a/0", 2_000), start("a/1", 2_000)];
     assert_eq!(broken(&history, &starts), []);
 }
@@ -85,14 +85,17 @@
     ];
     assert_eq!(
         broken(&one(record("a", 2)), &starts),
-        [Promise::NoDoubleStart]
+        [Guarantee::NoDoubleStart]
     );
 }
 
 #[test]
 fn a_request_that_may_not_be_repeated_and_starts_twice() {
     let starts = [start("a/0", 2_000), start("a/0", 9_000)];
-    assert_eq!(broken(&one(record("a", 1)), &starts), [Promise::AtMostOnce]);
+    assert_eq!(
+        broken(&one(record("a", 1)), &starts),
+        [Guarantee::AtMostOnce]
+    );
 }
 
 #[test]
@@ -100,24 +103,24 @@
     let mut short = record("a", 2);
     short.results = 1;
     let starts = [start("a/0", 2_000), start("a/1", 2_000)];
-    assert_eq!(broken(&one(short), &starts), [Promise::WholeAnswer]);
+    assert_eq!(broken(&one(short), &starts), [Guarantee::WholeAnswer]);
 }
 
 #[test]
 fn a_complete_answer_to_a_task_that_never_ran() {
     assert_eq!(
         broken(&one(record("a", 2)), &[start("a/0", 2_000)]),
-        [Promise::WholeAnswer]
+        [Guarantee::WholeAnswer]
     );
 }
 
 #[test]
 fn an_answer_that_belongs_to_another() {
     let mut crossed = record("a", 1);
-    crossed.own_results = false;
+    crossed.has_own_results = false;
     assert_eq!(
         broken(&one(crossed), &[start("a/0", 2_000)]),
-        [Promise::OwnAnswer]
+        [Guarantee::OwnAnswer]
     );
 }
 
@@ -127,7 +130,7 @@
     refused.attempts = vec![attempt("NO_OWNER", Effect::NotRun)];
     assert_eq!(
         broken(&one(refused), &[start("a/0", 2_000)]),
-        [Promise::TrueNotRun]
+        [Guarantee::TrueNotRun]
     );
 }
 
@@ -143,14 +146,14 @@
 #[test]
 fn a_leaving_target_that_starts_something() {
     let history = one(record("a", 1));
-    history.left(Leave {
+    history.record_departure(Departure {
         target: "t".to_string(),
         at_us: 0,
         until_us: u64::MAX,
     });
     assert_eq!(
         broken(&history, &[start("a/0", 3_500_000)]),
-        [Promise::LeavingGetsNothing]
+        [Guarantee::LeavingGetsNothing]
     );
 }
 
@@ -159,23 +162,26 @@
     let mut cut = record("a", 1);
     cut.attempts = vec![attempt("OUTCOME_UNKNOWN", Effect::Unknown)];
     let history = one(cut);
-    history.set_only_planned(true);
+    history.set_only_planned_faults(true);
     let starts = [start("a/0", 2_000)];
-    assert_eq!(broken(&history, &starts), [Promise::PlannedStopCutsNothing]);
+    assert_eq!(
+        broken(&history, &starts),
+        [Guarantee::PlannedStopCutsNothing]
+    );
 }
 
 #[test]
 fn an_answer_long_after_the_deadline() {
     let mut late = record("a", 1);
-    late.done_us = 6_500_000;
+    late.ended_us = 6_500_000;
     assert_eq!(
         broken(&one(late), &[start("a/0", 2_000)]),
-        [Promise::AnsweredInTime]
+        [Guarantee::AnsweredInTime]
     );
 }
 
-fn seen(revision: u64, at_us: u64) -> ConfigSeen {
-    ConfigSeen {
+fn seen(revision: u64, at_us: u64) -> ConfigObservation {
+    ConfigObservation {
         process: "p".to_string(),
         revision,
         at_us,
@@ -185,18 +191,18 @@
 #[test]
 fn a_configuration_that_reverts() {
     let history = History::default();
-    history.saw(seen(3, 1_000));
-    history.saw(seen(2, 2_000));
-    assert_eq!(broken(&history, &[]), [Promise::ConfigNeverReverts]);
+    history.record_observation(seen(3, 1_000));
+    history.record_observation(seen(2, 2_000));
+    assert_eq!(broken(&history, &[]), [Guarantee::ConfigNeverReverts]);
 }
 
 #[test]
 fn a_configuration_that_is_not_in_force_in_time() {
     let history = History::default();
-    history.accepted(ConfigAccepted {
+    history.record_change(ConfigChange {
         revision: 4,
         at_us: 0,
     });
-    history.saw(seen(3, 5_500_000));
-    assert_eq!(broken(&history, &[]), [Promise::ConfigInForce]);
+    history.record_observation(seen(3, 5_500_000));
+    assert_eq!(broken(&history, &[]), [Guarantee::ConfigInForce]);
 }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -292,7 +292,7 @@
     /// Mints an id of the present time.
     pub fn id(&mut self) -> SubmissionId {
         let random: u128 = self.rng.random();
-        SubmissionId::mint(self.now().wall_ms, random)
+        SubmissionId::from_parts(self.now().wall_ms, random)
     }
 
     /// Submits through the entry.
--- a/tests/suspended_machine.rs
+++ b/tests/suspended_machine.rs
@@ -7,7 +7,7 @@
 use rustix::time::{ClockId, clock_gettime};
 use winghold::ephemeral::session::FrameClock;
 use winghold::ephemeral::suspension::Suspension;
-use winghold::time::{SteadyClock, Timer};
+use winghold::time::{MonotonicClock, Timer};
 
 const SECOND_US: u64 = 1_000_000;
 
@@ -23,7 +23,7 @@
     }
 }
 
-impl SteadyClock for SetClock {
+impl MonotonicClock for SetClock {
     fn read(&self) -> Duration {
         Duration::from_micros(self.micros.load(Ordering::Relaxed))
     }
--- a/tools/codegen/src/main.rs
+++ b/tools/codegen/src/main.rs
@@ -1,8 +1,8 @@
-//! Generates the gRPC stubs under `src/rpc/`.
+//! Generates the gRPC stubs in `src/rpc/`.
 //!
-//! Run from the root of the repository:
-//! `cargo run --manifest-path tools/codegen/Cargo.toml`. The output is
-//! committed, so that a build of winghold needs no generator.
+//! Run from the root of the repository with
+//! `cargo run --manifest-path tools/codegen/Cargo.toml`. The generated code is committed, so
+//! that a build of winghold does not need the generator.
 
 use tonic_build::manual::{Builder, Method, Service};
 
@@ -14,7 +14,7 @@
     builder.compile(&[peer_service(), store_service()]);
 }
 
-/// The one bidirectional stream between two processes.
+/// Bidirectional stream between two processes.
 fn peer_service() -> Service {
     let exchange = Method::builder()
         .name("exchange")
@@ -32,7 +32,7 @@
         .build()
 }
 
-/// The calls of the platform's key-value store that winghold uses.
+/// Calls to the platform's key-value store.
 fn store_service() -> Service {
     let call = Method::builder()
         .name("call")
