--- a/src/bench/capacity.rs
+++ b/src/bench/capacity.rs
@@ -13,10 +13,10 @@
 const CANDIDATES: f64 = 64.0;
 const RETENTION_S: f64 = 300.0;
 const LEASE_S: f64 = 2.0;
-const WATCH_S: f64 = 20.0;
+const WATCH_WAIT_S: f64 = 20.0;
 const MEMBER_CHANGES_PER_DAY: f64 = 2.0 * (340.0 + 10.0);
 const CONFIG_CHANGES_PER_DAY: f64 = 1_300.0;
-const CHANGES_KEPT: f64 = 1_000.0;
+const RETAINED_CHANGES: f64 = 1_000.0;
 const DAY_S: f64 = 86_400.0;
 const TICKS_PER_SECOND: f64 = 50.0;
 /// Assumed mean run time in seconds.
@@ -24,13 +24,14 @@
 
 const CPU_LIMIT_PERCENT: f64 = 1.6;
 const MEMORY_LIMIT_MB: f64 = 128.0;
-const BYTES_LIMIT: f64 = 12_000.0;
-const STORE_WRITES: f64 = 300.0;
-const STORE_READS: f64 = 2_000.0;
-const VALUE_BYTES: f64 = 1_048_576.0;
+const BYTES_PER_SECOND_LIMIT: f64 = 12_000.0;
+const STORE_WRITES_LIMIT: f64 = 300.0;
+const STORE_READS_LIMIT: f64 = 2_000.0;
+/// One MiB, which is also the maximum size of a value in the store.
+const MIB: f64 = 1_048_576.0;
 
 struct Row {
-    what: &'static str,
+    label: &'static str,
     value: f64,
     unit: &'static str,
     limit: Option<f64>,
@@ -40,7 +41,7 @@
 
 impl Row {
     fn new(
-        what: &'static str,
+        label: &'static str,
         value: f64,
         unit: &'static str,
         limit: Option<f64>,
@@ -48,7 +49,7 @@
         slope: &'static str,
     ) -> Row {
         Row {
-            what,
+            label,
             value,
             unit,
             limit,
@@ -57,7 +58,7 @@
         }
     }
 
-    fn line(&self) -> String {
+    fn to_markdown(&self) -> String {
         let limit = match self.limit {
             None => "none given".to_string(),
             Some(limit) if self.value <= limit => format!("{} kept", format_number(limit)),
@@ -65,7 +66,7 @@
         };
         format!(
             "| {} | {} {} | {limit} | {} | {} |\n",
-            self.what,
+            self.label,
             format_number(self.value),
             self.unit,
             self.mechanism,
@@ -100,7 +101,7 @@
 
 fn table(title: &str, rows: &[Row]) -> String {
     let head = "| what | at the full size | limit | mechanism | slope |\n|---|---|---|---|---|\n";
-    let lines: String = rows.iter().map(Row::line).collect();
+    let lines: String = rows.iter().map(Row::to_markdown).collect();
     format!("### {title}\n\n{head}{lines}\n")
 }
 
@@ -144,7 +145,7 @@
         ),
         Row::new(
             "memory of links to all agents",
-            links / VALUE_BYTES,
+            links / MIB,
             "MB",
             Some(MEMORY_LIMIT_MB),
             "one stream an agent",
@@ -193,7 +194,7 @@
         ),
         Row::new(
             "memory of remembered tasks",
-            retained * slopes.get("record_memory").slope / VALUE_BYTES,
+            retained * slopes.get("record_memory").slope / MIB,
             "MB",
             Some(MEMORY_LIMIT_MB),
             "records for 300 s",
@@ -268,7 +269,7 @@
         ),
         Row::new(
             "memory of kept answers, requests only",
-            tasks * RETENTION_S * retained / VALUE_BYTES,
+            tasks * RETENTION_S * retained / MIB,
             "MB",
             Some(MEMORY_LIMIT_MB),
             "table kept for 300 s",
@@ -276,7 +277,7 @@
         ),
         Row::new(
             "memory of kept answers, requests only, 60 s",
-            tasks * 60.0 * retained / VALUE_BYTES,
+            tasks * 60.0 * retained / MIB,
             "MB",
             Some(MEMORY_LIMIT_MB),
             "`retention_ms: 60000`",
@@ -287,22 +288,31 @@
 
 /// Costs of heartbeats at an owner; each gate sends one per second to three owners.
 fn aggregator(slopes: &Slopes) -> Vec<Row> {
-    let beats = WORKERS * 3.0 / OWNERS;
+    let heartbeats = WORKERS * 3.0 / OWNERS;
     let mechanism = "gates beat to three owners, on work frames where there are any (to be built)";
     vec![
-        Row::new("gates heard", beats, "gates", None, mechanism, "counted"),
-        Row::new("beats in", beats, "a second", None, mechanism, "counted"),
+        Row::new(
+            "gates heard",
+            heartbeats,
+            "gates",
+            None,
+            mechanism,
+            "counted",
+        ),
+        Row::new(
+            "beats in", heartbeats, "a second", None, mechanism, "counted",
+        ),
         Row::new(
             "bytes of beats in",
-            beats * slopes.get("load_bytes").at(1.0),
+            heartbeats * slopes.get("load_bytes").at(1.0),
             "bytes/s",
-            Some(BYTES_LIMIT),
+            Some(BYTES_PER_SECOND_LIMIT),
             mechanism,
             "load_bytes",
         ),
         Row::new(
             "processor for beats, as for a message of a task",
-            beats * slopes.get("agent_job_us").slope / 2.0 / 1e4,
+            heartbeats * slopes.get("agent_job_us").slope / 2.0 / 1e4,
             "% of a core",
             Some(CPU_LIMIT_PERCENT),
             mechanism,
@@ -319,7 +329,7 @@
 }
 
 fn config_bytes(slopes: &Slopes) -> f64 {
-    slopes.get("config_bytes").at(TEAMS) + slopes.get("change_bytes").at(CHANGES_KEPT)
+    slopes.get("config_bytes").at(TEAMS) + slopes.get("change_bytes").at(RETAINED_CHANGES)
 }
 
 fn control(slopes: &Slopes) -> Vec<Row> {
@@ -348,7 +358,7 @@
             "bytes of news, everything at each change",
             changes * watch_bytes(slopes),
             "bytes/s",
-            Some(BYTES_LIMIT),
+            Some(BYTES_PER_SECOND_LIMIT),
             "the watch as it runs today",
             "member_bytes, table_bytes, change_bytes",
         ),
@@ -356,13 +366,13 @@
             "bytes of news, only what changed",
             deltas + documents,
             "bytes/s",
-            Some(BYTES_LIMIT),
+            Some(BYTES_PER_SECOND_LIMIT),
             "deltas of members, document without its trail (to be built)",
             "member_bytes, config_bytes",
         ),
         Row::new(
             "memory of links to all agents",
-            links / VALUE_BYTES,
+            links / MIB,
             "MB",
             Some(MEMORY_LIMIT_MB),
             "links as they run today",
@@ -370,7 +380,7 @@
         ),
         Row::new(
             "memory of links to the owners",
-            owner_links / VALUE_BYTES,
+            owner_links / MIB,
             "MB",
             Some(MEMORY_LIMIT_MB),
             "links between owners and their 64 gates (to be built)",
@@ -389,7 +399,7 @@
             "renewals, every agent a lease",
             renewals(WORKERS),
             "writes/s",
-            Some(STORE_WRITES),
+            Some(STORE_WRITES_LIMIT),
             "leases as they run today",
             "counted: one write a second a lease",
         ),
@@ -397,7 +407,7 @@
             "renewals, owners only",
             renewals(OWNERS),
             "writes/s",
-            Some(STORE_WRITES),
+            Some(STORE_WRITES_LIMIT),
             "gates beat to their owners (to be built)",
             "counted",
         ),
@@ -405,23 +415,23 @@
             "watches waiting, every process one",
             watchers,
             "calls at once",
-            Some(STORE_READS),
+            Some(STORE_READS_LIMIT),
             "watches as they run today",
             "counted",
         ),
         Row::new(
             "watches begun, every process one",
-            watchers / WATCH_S + watchers * changes,
+            watchers / WATCH_WAIT_S + watchers * changes,
             "calls/s",
-            Some(STORE_READS),
+            Some(STORE_READS_LIMIT),
             "watches as they run today",
             "counted",
         ),
         Row::new(
             "watches begun, owners and entries",
-            owners_and_entries / WATCH_S + owners_and_entries * changes,
+            owners_and_entries / WATCH_WAIT_S + owners_and_entries * changes,
             "calls/s",
-            Some(STORE_READS),
+            Some(STORE_READS_LIMIT),
             "others ask peers (runs today for who is behind)",
             "counted",
         ),
@@ -429,7 +439,7 @@
             "largest value: configuration and trail",
             config_bytes(slopes),
             "bytes",
-            Some(VALUE_BYTES),
+            Some(MIB),
             "one record",
             "config_bytes, change_bytes",
         ),
@@ -437,7 +447,7 @@
             "largest value: table of ranges and gates",
             slopes.get("table_bytes").at(RANGES) + WORKERS * 40.0,
             "bytes",
-            Some(VALUE_BYTES),
+            Some(MIB),
             "one record",
             "table_bytes",
         ),
--- a/src/metrics.rs
+++ b/src/metrics.rs
@@ -53,8 +53,8 @@
     }
 
     /// Adds to a counter.
-    pub fn count(&self, name: &str, by: u64) {
-        let _ = self.client.count(name, by as i64);
+    pub fn count(&self, name: &str, increment: u64) {
+        let _ = self.client.count(name, increment as i64);
     }
 
     /// Sets a gauge.
@@ -77,7 +77,7 @@
 struct Values {
     counters: BTreeMap<String, u64>,
     gauges: BTreeMap<String, u64>,
-    times: BTreeMap<String, Histogram<u64>>,
+    durations: BTreeMap<String, Histogram<u64>>,
 }
 
 impl Values {
@@ -97,11 +97,11 @@
     }
 
     fn record(&mut self, name: &str, value: u64) -> Option<()> {
-        if !self.times.contains_key(name) {
+        if !self.durations.contains_key(name) {
             let empty = Histogram::new(SIGNIFICANT_DIGITS).ok()?;
-            self.times.insert(name.to_string(), empty);
+            self.durations.insert(name.to_string(), empty);
         }
-        self.times.get_mut(name)?.record(value).ok()
+        self.durations.get_mut(name)?.record(value).ok()
     }
 }
 
@@ -120,10 +120,10 @@
             // Writing to a string cannot fail.
             let _ = writeln!(page, "{name} {value}");
         }
-        for (name, times) in &values.times {
-            let _ = writeln!(page, "{name}_count {}", times.len());
+        for (name, durations) in &values.durations {
+            let _ = writeln!(page, "{name}_count {}", durations.len());
             for quantile in QUANTILES {
-                let value = times.value_at_quantile(quantile);
+                let value = durations.value_at_quantile(quantile);
                 let _ = writeln!(page, "{name}{{quantile=\"{quantile}\"}} {value}");
             }
         }
--- a/src/query.rs
+++ b/src/query.rs
@@ -235,8 +235,8 @@
 }
 
 fn word_end(input: &mut &str) -> ModalResult<()> {
-    let end = input.chars().next().is_none_or(|c| !is_word_char(c));
-    match end {
+    let at_end = input.chars().next().is_none_or(|c| !is_word_char(c));
+    match at_end {
         true => Ok(()),
         false => Err(winnow::error::ErrMode::Backtrack(ContextError::new())),
     }
