--- a/src/agent/mod.rs
+++ b/src/agent/mod.rs
@@ -26,7 +26,7 @@
 use crate::ownership::StoreOp;
 use crate::settings::AgentSettings;
 use crate::store::{Store, StoreError, StoreReply, StoreRequest};
-use crate::supervisor::{Stop, Supervisor};
+use crate::supervisor::{StopSignal, Supervisor};
 use crate::time::{Moment, Timer};
 use crate::worker::{Control, Run, Worker};
 
@@ -172,17 +172,17 @@
     }
 
     /// Runs until `stop`, then leaves the fleet gracefully.
-    pub async fn run(self, stop: Stop) -> Result<()> {
+    pub async fn run(self, stop: StopSignal) -> Result<()> {
         let core = self.core;
         let (timer, log) = (core.node.timer.clone(), core.node.log.clone());
         let links = core.node.links.clone();
         let mut supervisor = Supervisor::new(log.clone(), timer.clone());
         let (listener, tx) = (self.listener, core.tx.clone());
-        supervisor.vital("peers", async move {
+        supervisor.spawn_critical("peers", async move {
             links.serve(listener, std::future::pending()).await
         });
         let (store, watch_timer, watch_tx) = (core.store.clone(), timer.clone(), tx.clone());
-        supervisor.restarting("watch", move || {
+        supervisor.spawn_restarting("watch", move || {
             let watch = watch_store(
                 store.clone(),
                 watch_timer.clone(),
@@ -195,7 +195,7 @@
             }
         });
         tokio::spawn(forward_events(timer, self.link_events, stop, tx));
-        supervisor.vital("core", core.run(self.events));
+        supervisor.spawn_critical("core", core.run(self.events));
         supervisor.run().await
     }
 }
--- a/src/agent/rows.rs
+++ b/src/agent/rows.rs
@@ -148,7 +148,7 @@
             "config": self.node.fleet.config_revision(),
             "table": self.node.fleet.table().revision,
             "ranges": self.member.owner.held_ranges().len(),
-            "lease_left_ms": now.left(lease_until_us).as_millis() as u64,
+            "lease_left_ms": now.remaining(lease_until_us).as_millis() as u64,
             "stopping": self.member.is_stopping(),
             "work_messages": counts.work,
             "control_messages": counts.control,
--- a/src/entry/http.rs
+++ b/src/entry/http.rs
@@ -25,7 +25,7 @@
 use crate::error::Result;
 use crate::id::SubmissionId;
 use crate::message::{Answer, Operation, Submission};
-use crate::supervisor::Stop;
+use crate::supervisor::StopSignal;
 
 /// Answer header with the id of the submission.
 const ANSWER_ID_HEADER: &str = "winghold-id";
@@ -44,11 +44,11 @@
 pub(crate) type Reply = Response<Full<Bytes>>;
 
 /// Serves until `stop`, then closes connections as they become idle.
-pub(crate) async fn serve(listener: TcpListener, handle: Handle, stop: Stop) -> Result<()> {
+pub(crate) async fn serve(listener: TcpListener, handle: Handle, stop: StopSignal) -> Result<()> {
     let graceful = GracefulShutdown::new();
     let connections = handle.view().config.limits.connections;
     let permits = Arc::new(Semaphore::new(connections));
-    let stop_requested = stop.asked();
+    let stop_requested = stop.requested();
     tokio::pin!(stop_requested);
     loop {
         let accepted = tokio::select! {
@@ -79,7 +79,7 @@
     drop(listener);
     handle
         .timer
-        .within(CONNECTION_CLOSE_TIMEOUT, graceful.shutdown())
+        .timeout(CONNECTION_CLOSE_TIMEOUT, graceful.shutdown())
         .await;
     Ok(())
 }
@@ -203,7 +203,7 @@
     }
     let reading = Limited::new(body, max_bytes).collect();
     let limit = Duration::from_millis(limits.body_ms);
-    match handle.timer.within(limit, reading).await {
+    match handle.timer.timeout(limit, reading).await {
         None => Err(refusal(ResultCode::SlowCaller, "body: sent too slowly")),
         Some(Ok(body)) => Ok(body.to_bytes()),
         Some(Err(err)) if err.is::<LengthLimitError>() => Err(too_large()),
--- a/src/ephemeral/gate/pause.rs
+++ b/src/ephemeral/gate/pause.rs
@@ -27,7 +27,7 @@
         };
         let entries = self.entries.iter();
         let due_us = entries.map(|(entry, state)| self.entry_due_us(now, entry, state));
-        let next = due_us.min().map_or(longest, |due_us| now.left(due_us));
+        let next = due_us.min().map_or(longest, |due_us| now.remaining(due_us));
         next.min(longest)
     }
 
--- a/src/host.rs
+++ b/src/host.rs
@@ -12,7 +12,7 @@
 
 use crate::error::{Error, Result};
 use crate::node::MessageCounters;
-use crate::supervisor::{Stop, Stopper};
+use crate::supervisor::{StopSignal, Stopper};
 
 /// Report of a process that is ready.
 pub struct Ready {
@@ -40,7 +40,7 @@
     /// Starts `process` in a thread and waits until it is ready.
     pub fn start<F, M>(name: &str, process: M) -> Result<Host>
     where
-        M: FnOnce(Stop, Sender<Ready>) -> F + Send + 'static,
+        M: FnOnce(StopSignal, Sender<Ready>) -> F + Send + 'static,
         F: Future<Output = Result<()>>,
     {
         let (stopper, stop) = Stopper::new();
