--- a/src/bench/fault.rs
+++ b/src/bench/fault.rs
@@ -274,7 +274,12 @@
     });
 }
 
-async fn set_drained(fleet: &LocalFleet, agent: usize, history: &History, drained: bool) -> Result<()> {
+async fn set_drained(
+    fleet: &LocalFleet,
+    agent: usize,
+    history: &History,
+    drained: bool,
+) -> Result<()> {
     let target = fleet.agents[agent].host.name.clone();
     let verb = if drained { "drain" } else { "undrain" };
     let path = format!("/v1/operator/targets/{target}/{verb}");
--- a/src/bench/throughput.rs
+++ b/src/bench/throughput.rs
@@ -153,7 +153,12 @@
 }
 
 /// Keeps `jobs` jobs in flight for `length`; returns the number of finished tasks.
-async fn run_jobs(fleet: &LocalFleet, tasks: usize, jobs: usize, length: Duration) -> Result<usize> {
+async fn run_jobs(
+    fleet: &LocalFleet,
+    tasks: usize,
+    jobs: usize,
+    length: Duration,
+) -> Result<usize> {
     let client = EntryClient::new(fleet.entries[0].addr);
     let body = format!("{{\"tasks\":[{}]}}", vec!["0"; tasks].join(","));
     let until_us = fleet.timer.now().after(length);
