--- a/tests/dispatcher_bench/mod.rs
+++ b/tests/dispatcher_bench/mod.rs
@@ -1,4 +1,4 @@
-//! A dispatcher with fake gates, one decision at a time.
+//! A dispatcher with simulated gates, for tests of single decisions.
 
 #![allow(dead_code)]
 
@@ -86,7 +86,7 @@
     }
 }
 
-/// The load of a full gate that knows all that was sent to it.
+/// The load of a full gate that has received all orders.
 pub fn full(wait_us: u64) -> GateLoad {
     GateLoad {
         seen: u64::MAX,
@@ -133,32 +133,32 @@
             incarnation: 1,
         };
         let hello = ToEntry::Hello { gate, config: 0 };
-        self.tell(session.0, hello);
+        self.deliver(session.0, hello);
     }
 
     pub fn load(&mut self, gate: u64, load: GateLoad) {
-        self.tell(gate, ToEntry::Load(load));
+        self.deliver(gate, ToEntry::Load(load));
     }
 
-    pub fn tell(&mut self, gate: u64, message: ToEntry) {
+    pub fn deliver(&mut self, gate: u64, message: ToEntry) {
         let session = SessionId(gate);
         self.dispatcher.frame_received(self.now, session);
         self.dispatcher.handle_message(self.now, session, message);
         self.collect();
     }
 
-    pub fn ended(&mut self, start: (SessionId, RunId), end: RunEnd) {
+    pub fn end_run(&mut self, start: (SessionId, RunId), end: RunEnd) {
         let run_us = 100 * MS;
         let run = start.1;
-        self.tell(start.0.0, ToEntry::Ended { run, end, run_us });
+        self.deliver(start.0.0, ToEntry::Ended { run, end, run_us });
     }
 
     pub fn submit(&mut self, waiter: u64, spec: JobSpec, priority: u8) {
-        self.submit_for(2_000, waiter, spec, priority);
+        self.submit_with_timeout(2_000, waiter, spec, priority);
     }
 
-    /// A caller that waits for `wait_ms` sends a job.
-    pub fn submit_for(&mut self, wait_ms: u64, waiter: u64, spec: JobSpec, priority: u8) {
+    /// Submits a job whose caller waits for `wait_ms`.
+    pub fn submit_with_timeout(&mut self, wait_ms: u64, waiter: u64, spec: JobSpec, priority: u8) {
         let wait_us = wait_ms * MS;
         let waiter = WaiterId(waiter);
         self.dispatcher
@@ -166,19 +166,19 @@
         self.collect();
     }
 
-    pub fn pass(&mut self, ms: u64) {
+    pub fn advance(&mut self, ms: u64) {
         self.now.mono_us += ms * MS;
         self.dispatcher.tick(self.now);
         self.collect();
     }
 
-    /// Passes time while all gates are heard.
-    pub fn steady(&mut self, ms: u64) {
+    /// Advances the time while frames keep coming from all gates.
+    pub fn advance_connected(&mut self, ms: u64) {
         for _ in 0..ms / 100 {
             for gate in 1..=9 {
                 self.dispatcher.frame_received(self.now, SessionId(gate));
             }
-            self.pass(100);
+            self.advance(100);
         }
     }
 
--- a/tests/ephemeral_admission.rs
+++ b/tests/ephemeral_admission.rs
@@ -1,4 +1,4 @@
-//! Which jobs an entry takes in, and which it refuses at once.
+//! Admission of jobs by an entry.
 
 mod dispatcher_bench;
 
@@ -8,7 +8,7 @@
 use winghold::ephemeral::message::{GateLoad, QueueLoad, RunEnd, WorkerTraits};
 
 #[test]
-fn without_room_in_time_a_job_is_refused_at_once_and_told_when_to_come_back() {
+fn job_that_cannot_start_in_time_is_refused_with_a_retry_delay() {
     let mut bench = Bench::new(1);
     bench.load(1, load(0, 500 * MS));
     bench.submit(1, job(1, 1), 0);
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn a_job_that_fits_only_in_part_is_not_begun() {
+fn job_that_fits_only_in_part_is_not_started() {
     let mut bench = Bench::new(1);
     bench.load(1, load(1_000, 400 * MS));
     bench.submit(1, job(1, 8), 0);
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn a_less_urgent_job_waits_out_a_rush() {
+fn less_urgent_job_waits_during_a_short_burst() {
     let mut bench = Bench::new(1);
     bench.load(1, load(0, 40 * MS));
     bench.submit(1, job(1, 1), 1);
@@ -37,12 +37,12 @@
 }
 
 #[test]
-fn where_congestion_stands_less_urgent_jobs_are_refused_and_urgent_ones_wait() {
+fn lasting_congestion_refuses_less_urgent_jobs_and_queues_urgent_ones() {
     let mut bench = Bench::new(1);
     for id in 1..=40 {
         bench.load(1, full(40 * MS));
         bench.submit(id, job(id, 1), 1);
-        bench.pass(20);
+        bench.advance(20);
     }
     let begun = bench.starts.len();
     bench.load(1, full(40 * MS));
@@ -54,16 +54,16 @@
 }
 
 #[test]
-fn where_congestion_stands_jobs_that_were_sent_before_only_get_free_room() {
+fn lasting_congestion_admits_resent_jobs_only_to_free_capacity() {
     let mut bench = Bench::new(1);
     for id in 1..=40 {
         bench.load(1, full(60 * MS));
         bench.submit(id, job(id, 1), 1);
-        bench.pass(20);
+        bench.advance(20);
     }
     bench.load(1, full(10 * MS));
     let begun = bench.starts.len();
-    bench.submit_for(700, 41, job(41, 1), 1);
+    bench.submit_with_timeout(700, 41, job(41, 1), 1);
     assert_eq!(bench.codes().last(), Some(&ResultCode::Overloaded));
     assert_eq!(bench.starts.len(), begun);
     bench.submit(42, job(42, 1), 1);
@@ -75,27 +75,27 @@
             ..load(1_000, 0)
         },
     );
-    bench.submit_for(700, 43, job(43, 1), 1);
+    bench.submit_with_timeout(700, 43, job(43, 1), 1);
     assert_eq!(bench.starts.len(), begun + 2);
 }
 
 #[test]
-fn congestion_is_forgotten_after_a_pause() {
+fn congestion_state_expires_without_traffic() {
     let mut bench = Bench::new(1);
     for id in 1..=40 {
         bench.load(1, full(90 * MS));
         bench.submit(id, job(id, 1), 1);
-        bench.pass(20);
+        bench.advance(20);
     }
     let begun = bench.starts.len();
-    bench.steady(1_000);
+    bench.advance_connected(1_000);
     bench.load(1, full(40 * MS));
     bench.submit(41, job(41, 1), 1);
     assert_eq!(bench.starts.len(), begun + 1);
 }
 
 #[test]
-fn an_urgent_job_does_not_wait_behind_others() {
+fn urgent_job_is_not_refused_for_the_queue_of_other_priorities() {
     let mut bench = Bench::new(1);
     let mut busy = load(0, 0);
     busy.queues = vec![
@@ -118,9 +118,9 @@
 }
 
 #[test]
-fn what_no_worker_could_ever_run_fails_at_once() {
+fn job_that_no_worker_can_ever_run_fails_at_once() {
     let mut bench = Bench::new(1);
-    bench.steady(4_000);
+    bench.advance_connected(4_000);
     let big = JobSpec {
         needs: cpu(5_000),
         ..job(1, 1)
@@ -139,7 +139,7 @@
 }
 
 #[test]
-fn before_all_workers_can_be_known_nothing_is_said_to_fit_none() {
+fn job_is_not_failed_as_unrunnable_before_all_workers_are_known() {
     let mut bench = Bench::new(1);
     let big = JobSpec {
         needs: cpu(5_000),
@@ -150,33 +150,33 @@
 }
 
 #[test]
-fn without_gates_a_job_waits_a_moment_and_is_refused() {
+fn job_is_refused_if_no_gate_connects_in_time() {
     let mut bench = Bench::new(0);
     bench.submit(1, job(1, 1), 0);
-    // Its objective is 220 ms, and a refusal after a quarter of it is late.
-    bench.pass(45);
+    // The objective of the job is 220 ms; it is refused within a quarter of that.
+    bench.advance(45);
     assert!(bench.answers.is_empty());
-    bench.pass(10);
+    bench.advance(10);
     assert_eq!(bench.codes(), [ResultCode::Overloaded]);
     assert_eq!(bench.answers[0].1.effect, Effect::NotRun);
 }
 
 #[test]
-fn a_job_that_came_before_the_gates_is_run_when_they_are_there() {
+fn job_submitted_before_the_gates_connect_runs_afterwards() {
     let mut bench = Bench::new(0);
     bench.submit(1, job(1, 2), 0);
-    bench.pass(10);
+    bench.advance(10);
     bench.connect(1);
     bench.load(1, load(1_000, 0));
     assert_eq!(bench.starts.len(), 2);
     for start in bench.starts.clone() {
-        bench.ended(start, RunEnd::Done);
+        bench.end_run(start, RunEnd::Done);
     }
     assert_eq!(bench.codes(), [ResultCode::Complete]);
 }
 
 #[test]
-fn jobs_that_came_before_the_gates_are_not_all_begun_if_they_do_not_fit() {
+fn jobs_submitted_before_the_gates_connect_start_only_if_they_fit() {
     let mut bench = Bench::new(0);
     for id in 1..=6 {
         bench.submit(id, job(id, 2), 1);
@@ -184,28 +184,28 @@
     bench.connect(1);
     bench.load(1, load(1_000, 200 * MS));
     assert_eq!(bench.starts.len(), 2);
-    assert!(bench.answers.is_empty(), "other gates may come");
-    bench.pass(55);
+    assert!(bench.answers.is_empty(), "other gates may still connect");
+    bench.advance(55);
     assert_eq!(bench.starts.len(), 2);
     assert_eq!(bench.codes(), [ResultCode::Overloaded; 5]);
 }
 
 #[test]
-fn callers_that_wait_less_for_good_are_taken_for_new_again() {
+fn callers_with_permanently_shorter_timeouts_count_as_new() {
     let mut bench = Bench::new(1);
     bench.submit(1, job(1, 1), 1);
     for id in 2..=140 {
         bench.load(1, full(60 * MS));
-        bench.submit_for(700, id, job(id, 1), 1);
-        bench.pass(20);
+        bench.submit_with_timeout(700, id, job(id, 1), 1);
+        bench.advance(20);
     }
     let begun = bench.starts.len();
     bench.load(1, full(10 * MS));
-    bench.submit_for(700, 141, job(141, 1), 1);
+    bench.submit_with_timeout(700, 141, job(141, 1), 1);
     assert_eq!(bench.starts.len(), begun + 1);
 }
 
-/// The load of a gate whose worker has shrunk to `cpu_milli`, of 1,000 that it had.
+/// The load of a gate whose worker has shrunk from 1,000 millicores to `cpu_milli`.
 fn shrunk(cpu_milli: u64) -> GateLoad {
     let before = load(cpu_milli, 0);
     let traits = before.worker.as_ref().unwrap();
@@ -223,12 +223,12 @@
     }
 }
 
-/// Capacity may shrink and grow again: what fits no worker now is refused, for the caller
-/// to come back, and not failed for good.
+/// Capacity may grow back, so a job that fits no worker now is refused with a retry delay
+/// and not failed.
 #[test]
-fn a_job_that_fits_no_worker_since_all_have_shrunk_is_not_failed() {
+fn job_that_fits_no_shrunken_worker_is_refused_and_not_failed() {
     let mut bench = Bench::new(2);
-    bench.steady(5_000);
+    bench.advance_connected(5_000);
     bench.load(1, shrunk(300));
     bench.load(2, shrunk(300));
     bench.submit(1, job(1, 1), 0);
@@ -237,7 +237,7 @@
     assert!(bench.answers[0].1.retry_after_ms.is_some());
     bench.load(1, shrunk(1_000));
     bench.submit(2, job(2, 1), 0);
-    assert_eq!(bench.starts.len(), 1, "it has grown again");
+    assert_eq!(bench.starts.len(), 1, "the worker has grown back");
     let never = JobSpec {
         needs: cpu(2_000),
         ..job(3, 1)
--- a/tests/ephemeral_config_exchange.rs
+++ b/tests/ephemeral_config_exchange.rs
@@ -1,4 +1,4 @@
-//! Configurations that an entry gets from other entries, one message at a time.
+//! Configuration transfer between entries through gates.
 
 mod dispatcher_bench;
 mod gate_bench;
@@ -12,59 +12,61 @@
 };
 use winghold::ephemeral::session::SessionId;
 
-/// Longer than one part.
-const BYTES: usize = 40_000;
+/// More than one part.
+const DOCUMENT_BYTES: usize = 40_000;
 
 fn document(version: u64) -> ConfigDocument {
-    let text: Vec<u8> = (0..BYTES).map(|at| (at as u64 + version) as u8).collect();
+    let text: Vec<u8> = (0..DOCUMENT_BYTES)
+        .map(|at| (at as u64 + version) as u8)
+        .collect();
     ConfigDocument {
         version,
         text: text.into(),
     }
 }
 
-fn first(version: u64) -> ConfigPartRequest {
+fn first_part(version: u64) -> ConfigPartRequest {
     ConfigPartRequest { version, offset: 0 }
 }
 
-/// What the entry asked for since the last call, and on which session.
-fn asked(bench: &mut Bench) -> Vec<(SessionId, ConfigPartRequest)> {
-    let asked = bench.actions.drain(..).filter_map(|action| match action {
+/// Parts that the entry requested since the last call, with their sessions.
+fn requested_parts(bench: &mut Bench) -> Vec<(SessionId, ConfigPartRequest)> {
+    let requests = bench.actions.drain(..).filter_map(|action| match action {
         DispatchAction::Send {
             session,
             message: ToGate::WantConfig(wanted),
         } => Some((session, wanted)),
         _ => None,
     });
-    asked.collect()
+    requests.collect()
 }
 
-fn learned(bench: &Bench) -> Vec<&ConfigDocument> {
-    let learned = bench.actions.iter().filter_map(|action| match action {
+fn received_documents(bench: &Bench) -> Vec<&ConfigDocument> {
+    let documents = bench.actions.iter().filter_map(|action| match action {
         DispatchAction::ConfigReceived(document) => Some(document),
         _ => None,
     });
-    learned.collect()
+    documents.collect()
 }
 
-/// An entry with version 5 that was told of version 6 by its gates.
-fn behind(gates: u64) -> Bench {
+/// An entry with version 5 whose gates have announced version 6.
+fn outdated_entry(gates: u64) -> Bench {
     let mut bench = Bench::new(gates);
     bench.dispatcher.apply_config(document(5));
     for gate in 1..=gates {
-        bench.tell(gate, ToEntry::ConfigVersion(6));
+        bench.deliver(gate, ToEntry::ConfigVersion(6));
     }
     bench.collect();
     bench
 }
 
 #[test]
-fn a_new_configuration_is_told_by_its_version_only() {
+fn new_configuration_is_announced_by_version_only() {
     let mut bench = Bench::new(3);
     bench.dispatcher.apply_config(document(5));
     bench.dispatcher.apply_config(document(4));
     bench.collect();
-    let told: Vec<&ToGate> = bench
+    let announced: Vec<&ToGate> = bench
         .actions
         .iter()
         .filter_map(|action| match action {
@@ -74,8 +76,8 @@
             _ => None,
         })
         .collect();
-    assert_eq!(told.len(), 3, "{told:?}");
-    let versions = told.iter();
+    assert_eq!(announced.len(), 3, "{announced:?}");
+    let versions = announced.iter();
     assert!(
         versions
             .clone()
@@ -84,117 +86,130 @@
 }
 
 #[test]
-fn a_gate_that_connected_before_the_change_is_told_after_its_hello() {
+fn new_version_is_announced_after_the_hello_of_a_gate() {
     let mut bench = Bench::new(1);
     bench.dispatcher.apply_config(document(5));
     bench.collect();
     bench.actions.clear();
     bench.connect(1);
-    let told = bench.actions.iter().any(|action| {
+    let announced = bench.actions.iter().any(|action| {
         let expected = ToGate::ConfigVersion(5);
         matches!(action, DispatchAction::Send { message, .. }
             if format!("{message:?}") == format!("{expected:?}"))
     });
-    assert!(told);
+    assert!(announced);
 }
 
 #[test]
-fn the_store_goes_first_and_an_older_version_is_never_asked_for() {
+fn only_newer_versions_that_the_store_does_not_deliver_are_requested() {
     let mut bench = Bench::new(2);
     bench.dispatcher.apply_config(document(5));
-    bench.tell(1, ToEntry::ConfigVersion(4));
-    bench.tell(1, ToEntry::ConfigVersion(5));
-    bench.steady(3_000);
-    assert!(asked(&mut bench).is_empty(), "nothing newer");
-    bench.tell(1, ToEntry::ConfigVersion(6));
-    bench.steady(900);
-    assert!(asked(&mut bench).is_empty(), "the store may still give it");
+    bench.deliver(1, ToEntry::ConfigVersion(4));
+    bench.deliver(1, ToEntry::ConfigVersion(5));
+    bench.advance_connected(3_000);
+    assert!(requested_parts(&mut bench).is_empty(), "no newer version");
+    bench.deliver(1, ToEntry::ConfigVersion(6));
+    bench.advance_connected(900);
+    assert!(
+        requested_parts(&mut bench).is_empty(),
+        "the store may still deliver it"
+    );
     bench.dispatcher.apply_config(document(6));
-    bench.steady(3_000);
-    assert!(asked(&mut bench).is_empty(), "the store gave it");
+    bench.advance_connected(3_000);
+    assert!(
+        requested_parts(&mut bench).is_empty(),
+        "the store delivered it"
+    );
 }
 
 #[test]
-fn a_document_comes_part_by_part_and_one_at_a_time() {
-    let mut bench = behind(2);
-    bench.steady(1_000);
+fn document_is_transferred_in_parts_one_at_a_time() {
+    let mut bench = outdated_entry(2);
+    bench.advance_connected(1_000);
     let newer = document(6);
     let mut parts = 0;
-    let mut wanted = asked(&mut bench);
+    let mut wanted = requested_parts(&mut bench);
     while let [(session, part)] = wanted[..] {
         assert_eq!(part.version, 6);
         let part = newer.part(part).expect("a part");
         assert!(part.bytes.len() <= 16 << 10);
         parts += 1;
-        bench.tell(session.0, ToEntry::ConfigPart(part));
-        if learned(&bench).len() == 1 {
+        bench.deliver(session.0, ToEntry::ConfigPart(part));
+        if received_documents(&bench).len() == 1 {
             break;
         }
-        wanted = asked(&mut bench);
+        wanted = requested_parts(&mut bench);
     }
     assert_eq!(parts, 3);
-    assert_eq!(learned(&bench), [&newer]);
+    assert_eq!(received_documents(&bench), [&newer]);
 }
 
 #[test]
-fn a_part_that_does_not_come_is_asked_for_at_another_gate() {
-    let mut bench = behind(3);
-    bench.steady(1_000);
-    let [(one, part)] = asked(&mut bench)[..] else {
+fn missing_part_is_requested_through_another_gate() {
+    let mut bench = outdated_entry(3);
+    bench.advance_connected(1_000);
+    let [(gate, part)] = requested_parts(&mut bench)[..] else {
         panic!("one part");
     };
     let part = document(6).part(part).expect("a part");
-    bench.tell(one.0, ToEntry::ConfigPart(part.clone()));
-    assert_eq!(asked(&mut bench).len(), 1, "the next part");
-    bench.steady(500);
-    let [(other, wanted)] = asked(&mut bench)[..] else {
+    bench.deliver(gate.0, ToEntry::ConfigPart(part.clone()));
+    assert_eq!(requested_parts(&mut bench).len(), 1, "the next part");
+    bench.advance_connected(500);
+    let [(other, wanted)] = requested_parts(&mut bench)[..] else {
         panic!("one part");
     };
-    assert_ne!(one, other);
-    assert_eq!(wanted.offset, part.bytes.len() as u64, "what came is kept");
-    bench.tell(one.0, ToEntry::ConfigPart(part));
-    assert!(asked(&mut bench).is_empty(), "a part that came twice");
+    assert_ne!(gate, other);
+    assert_eq!(
+        wanted.offset,
+        part.bytes.len() as u64,
+        "received parts are kept"
+    );
+    bench.deliver(gate.0, ToEntry::ConfigPart(part));
+    assert!(
+        requested_parts(&mut bench).is_empty(),
+        "a repeated part is ignored"
+    );
 }
 
 #[test]
-fn whoever_has_a_newer_version_begins_with_that() {
-    let mut bench = behind(1);
-    bench.steady(1_000);
-    let [(session, wanted)] = asked(&mut bench)[..] else {
+fn transfer_restarts_when_a_part_has_a_newer_version() {
+    let mut bench = outdated_entry(1);
+    bench.advance_connected(1_000);
+    let [(session, wanted)] = requested_parts(&mut bench)[..] else {
         panic!("one part");
     };
     let old = document(6).part(wanted).expect("a part");
-    bench.tell(session.0, ToEntry::ConfigPart(old));
-    let [(_, wanted)] = asked(&mut bench)[..] else {
+    bench.deliver(session.0, ToEntry::ConfigPart(old));
+    let [(_, wanted)] = requested_parts(&mut bench)[..] else {
         panic!("one part");
     };
     let newer = document(8);
     let mut part = newer.part(wanted);
     while let Some(next) = part.take() {
-        bench.tell(session.0, ToEntry::ConfigPart(next));
-        if let Some(wanted) = last_asked(&bench) {
+        bench.deliver(session.0, ToEntry::ConfigPart(next));
+        if let Some(wanted) = last_requested_part(&bench) {
             part = newer.part(wanted);
         }
-        if learned(&bench).len() == 1 {
+        if received_documents(&bench).len() == 1 {
             break;
         }
     }
-    assert_eq!(learned(&bench), [&newer]);
+    assert_eq!(received_documents(&bench), [&newer]);
 }
 
-/// What the entry asked for last.
-fn last_asked(bench: &Bench) -> Option<ConfigPartRequest> {
-    let asked = bench.actions.iter().filter_map(|action| match action {
+/// The part that the entry requested last.
+fn last_requested_part(bench: &Bench) -> Option<ConfigPartRequest> {
+    let requests = bench.actions.iter().filter_map(|action| match action {
         DispatchAction::Send {
             message: ToGate::WantConfig(wanted),
             ..
         } => Some(*wanted),
         _ => None,
     });
-    asked.last()
+    requests.last()
 }
 
-/// The load of a gate that knows all that was sent to it.
+/// The load of a gate that has received all orders.
 fn seen() -> GateLoad {
     GateLoad {
         seen: u64::MAX,
@@ -203,8 +218,8 @@
 }
 
 #[test]
-fn a_gate_that_is_quiet_is_not_asked() {
-    let mut bench = behind(2);
+fn silent_gate_gets_no_request() {
+    let mut bench = outdated_entry(2);
     bench.submit(1, job(1, 2), 1);
     let at: Vec<u64> = bench.starts.iter().map(|(session, _)| session.0).collect();
     assert!(at.contains(&1) && at.contains(&2), "{at:?}");
@@ -213,30 +228,33 @@
         if turn < 75 {
             bench.load(2, seen());
         }
-        bench.pass(10);
+        bench.advance(10);
     }
-    let sessions: Vec<u64> = asked(&mut bench).iter().map(|(one, _)| one.0).collect();
+    let sessions: Vec<u64> = requested_parts(&mut bench)
+        .iter()
+        .map(|(one, _)| one.0)
+        .collect();
     assert_eq!(sessions, [1]);
 }
 
 #[test]
-fn an_entry_gives_parts_of_what_it_has_only() {
+fn entry_sends_only_parts_of_its_own_version() {
     let mut bench = Bench::new(1);
     bench.dispatcher.apply_config(document(5));
     bench.collect();
     bench.actions.clear();
     let asker = SessionId(77);
     for version in [6, 5, 3] {
-        let wanted = first(version);
-        bench.tell(1, ToEntry::WantConfig { asker, wanted });
+        let wanted = first_part(version);
+        bench.deliver(1, ToEntry::WantConfig { asker, wanted });
     }
     let beyond = ConfigPartRequest {
         version: 5,
-        offset: BYTES as u64,
+        offset: DOCUMENT_BYTES as u64,
     };
     let wanted = beyond;
-    bench.tell(1, ToEntry::WantConfig { asker, wanted });
-    let given: Vec<u64> = bench
+    bench.deliver(1, ToEntry::WantConfig { asker, wanted });
+    let sent_versions: Vec<u64> = bench
         .actions
         .iter()
         .filter_map(|action| match action {
@@ -250,11 +268,15 @@
             _ => None,
         })
         .collect();
-    assert_eq!(given, [5, 5], "for version 5, and for the older one");
+    assert_eq!(
+        sent_versions,
+        [5, 5],
+        "for version 5, and for the older version"
+    );
 }
 
-/// What a gate sent, as text.
-fn sent(bench: &mut gate_bench::Bench) -> Vec<(u64, ToEntry)> {
+/// Messages that the gate sent since the last call, without loads.
+fn take_sent(bench: &mut gate_bench::Bench) -> Vec<(u64, ToEntry)> {
     let sent = bench.actions.drain(..).filter_map(|action| match action {
         GateAction::Send { session, message } if !matches!(message, ToEntry::Load(_)) => {
             Some((session.0, message))
@@ -264,7 +286,7 @@
     sent.collect()
 }
 
-fn hello(bench: &mut gate_bench::Bench, session: u64, config: u64) {
+fn connect_entry(bench: &mut gate_bench::Bench, session: u64, config: u64) {
     let entry = process(&format!("e{session}"), session);
     let open = Vec::new();
     let message = ToGate::Hello {
@@ -272,10 +294,10 @@
         config,
         open,
     };
-    tell(bench, session, message);
+    send_to_gate(bench, session, message);
 }
 
-fn tell(bench: &mut gate_bench::Bench, session: u64, message: ToGate) {
+fn send_to_gate(bench: &mut gate_bench::Bench, session: u64, message: ToGate) {
     bench
         .gate
         .handle_message(bench.now, SessionId(session), message);
@@ -283,30 +305,34 @@
 }
 
 #[test]
-fn a_gate_tells_entries_that_are_behind_and_carries_parts_between_them() {
-    let mut bench = gate_bench::Bench::unlisted();
-    hello(&mut bench, 21, 5);
-    hello(&mut bench, 22, 5);
-    hello(&mut bench, 23, 5);
-    sent(&mut bench);
-    tell(&mut bench, 21, ToGate::ConfigVersion(6));
-    let told = sent(&mut bench);
-    let sessions: Vec<u64> = told.iter().map(|(session, _)| *session).collect();
+fn gate_announces_versions_to_outdated_entries_and_relays_parts() {
+    let mut bench = gate_bench::Bench::without_run_list();
+    connect_entry(&mut bench, 21, 5);
+    connect_entry(&mut bench, 22, 5);
+    connect_entry(&mut bench, 23, 5);
+    take_sent(&mut bench);
+    send_to_gate(&mut bench, 21, ToGate::ConfigVersion(6));
+    let announced = take_sent(&mut bench);
+    let sessions: Vec<u64> = announced.iter().map(|(session, _)| *session).collect();
     assert_eq!(sessions, [22, 23]);
     assert!(
-        told.iter()
+        announced
+            .iter()
             .all(|(_, one)| matches!(one, ToEntry::ConfigVersion(6)))
     );
-    tell(&mut bench, 23, ToGate::ConfigVersion(6));
-    assert!(sent(&mut bench).is_empty(), "the others know");
-    hello(&mut bench, 24, 6);
-    let [(24, ToEntry::Hello { config: 6, .. })] = &sent(&mut bench)[..] else {
-        panic!("a hello tells the newest version");
+    send_to_gate(&mut bench, 23, ToGate::ConfigVersion(6));
+    assert!(
+        take_sent(&mut bench).is_empty(),
+        "the others have this version"
+    );
+    connect_entry(&mut bench, 24, 6);
+    let [(24, ToEntry::Hello { config: 6, .. })] = &take_sent(&mut bench)[..] else {
+        panic!("a hello carries the newest version");
     };
 
-    tell(&mut bench, 22, ToGate::WantConfig(first(6)));
-    let [(holder, ToEntry::WantConfig { asker, wanted })] = sent(&mut bench)[..] else {
-        panic!("one holder is asked");
+    send_to_gate(&mut bench, 22, ToGate::WantConfig(first_part(6)));
+    let [(holder, ToEntry::WantConfig { asker, wanted })] = take_sent(&mut bench)[..] else {
+        panic!("the request goes to one entry that has the version");
     };
     assert!([21, 23, 24].contains(&holder));
     assert_eq!(asker, SessionId(22));
@@ -315,36 +341,36 @@
         asker,
         part: part.clone(),
     };
-    tell(&mut bench, holder, answer);
-    let passed = sent(&mut bench);
-    let [(22, ToEntry::ConfigPart(passed))] = &passed[..] else {
-        panic!("the part goes to whoever asked: {passed:?}");
+    send_to_gate(&mut bench, holder, answer);
+    let relayed = take_sent(&mut bench);
+    let [(22, ToEntry::ConfigPart(relayed))] = &relayed[..] else {
+        panic!("the part goes to the entry that requested it: {relayed:?}");
     };
-    assert_eq!(*passed, part);
+    assert_eq!(*relayed, part);
 }
 
 #[test]
-fn an_entry_that_connects_with_a_newer_version_is_told_of() {
-    let mut bench = gate_bench::Bench::unlisted();
-    hello(&mut bench, 21, 5);
-    sent(&mut bench);
-    hello(&mut bench, 22, 6);
-    let told = sent(&mut bench);
-    let behind = told.iter().find(|(session, _)| *session == 21);
+fn newer_version_of_a_connecting_entry_is_announced_to_others() {
+    let mut bench = gate_bench::Bench::without_run_list();
+    connect_entry(&mut bench, 21, 5);
+    take_sent(&mut bench);
+    connect_entry(&mut bench, 22, 6);
+    let announced = take_sent(&mut bench);
+    let behind = announced.iter().find(|(session, _)| *session == 21);
     assert!(
         matches!(behind, Some((_, ToEntry::ConfigVersion(6)))),
-        "{told:?}"
+        "{announced:?}"
     );
 }
 
 #[test]
-fn a_gate_without_a_holder_or_an_asker_sends_nothing() {
-    let mut bench = gate_bench::Bench::unlisted();
-    hello(&mut bench, 21, 5);
-    hello(&mut bench, 22, 5);
-    sent(&mut bench);
-    tell(&mut bench, 21, ToGate::WantConfig(first(6)));
-    assert!(sent(&mut bench).is_empty(), "no entry has version 6");
+fn gate_drops_requests_and_parts_without_a_recipient() {
+    let mut bench = gate_bench::Bench::without_run_list();
+    connect_entry(&mut bench, 21, 5);
+    connect_entry(&mut bench, 22, 5);
+    take_sent(&mut bench);
+    send_to_gate(&mut bench, 21, ToGate::WantConfig(first_part(6)));
+    assert!(take_sent(&mut bench).is_empty(), "no entry has version 6");
     let part = ConfigPart {
         version: 6,
         offset: 0,
@@ -352,6 +378,6 @@
         bytes: "x".into(),
     };
     let asker = SessionId(99);
-    tell(&mut bench, 21, ToGate::ConfigPart { asker, part });
-    assert!(sent(&mut bench).is_empty(), "nobody asked");
+    send_to_gate(&mut bench, 21, ToGate::ConfigPart { asker, part });
+    assert!(take_sent(&mut bench).is_empty(), "no entry requested it");
 }
--- a/tests/ephemeral_dials.rs
+++ b/tests/ephemeral_dials.rs
@@ -1,4 +1,4 @@
-//! When an entry dials its gates.
+//! Timing of an entry's connection attempts to its gates.
 
 use std::time::Duration;
 
@@ -8,8 +8,8 @@
 use winghold::time::{Moment, micros};
 
 const MS: u64 = 1_000;
-/// How often the entry's loop turns.
-const TURN_US: u64 = 10 * MS;
+/// Interval of the entry's loop.
+const TICK_US: u64 = 10 * MS;
 
 fn at(mono_us: u64) -> Moment {
     Moment {
@@ -27,12 +27,12 @@
     }
 }
 
-/// Starts of attempts over `span` to a machine that says nothing.
-fn attempts_in_silence(span: Duration) -> Vec<u64> {
+/// Start times of attempts within `span` to an instance that never answers.
+fn attempts_without_answer(span: Duration) -> Vec<u64> {
     let mut dialer = Dialer::default();
     dialer.update_records(at(0), vec![record(1)].into());
     let (mut starts, mut pending) = (Vec::new(), None);
-    for now_us in (0..micros(span)).step_by(TURN_US as usize) {
+    for now_us in (0..micros(span)).step_by(TICK_US as usize) {
         if pending.is_some_and(|until_us| until_us <= now_us) {
             dialer.attempt_failed("g");
             pending = None;
@@ -46,8 +46,8 @@
 }
 
 #[test]
-fn a_gate_that_was_dark_is_found_within_a_quarter_of_its_absence() {
-    let starts = attempts_in_silence(Duration::from_secs(5));
+fn unreachable_gate_is_retried_within_a_quarter_of_its_outage() {
+    let starts = attempts_without_answer(Duration::from_secs(5));
     for pair in starts.windows(2) {
         let most_us = pair[0] / 4 + 60 * MS;
         assert!(pair[1] - pair[0] <= most_us, "{pair:?} of {starts:?}");
@@ -55,13 +55,13 @@
 }
 
 #[test]
-fn a_gate_that_stays_away_costs_few_attempts() {
-    let starts = attempts_in_silence(Duration::from_secs(30));
+fn permanently_unreachable_gate_gets_few_attempts() {
+    let starts = attempts_without_answer(Duration::from_secs(30));
     assert!(starts.len() < 90, "{} attempts", starts.len());
 }
 
 #[test]
-fn a_refused_attempt_is_not_repeated_at_once() {
+fn refused_attempt_is_not_repeated_at_once() {
     let mut dialer = Dialer::default();
     dialer.update_records(at(0), vec![record(1)].into());
     assert_eq!(dialer.due_attempts(at(0), |_| true).len(), 1);
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn a_session_that_is_lost_is_replaced_at_once() {
+fn closed_session_is_redialed_at_once() {
     let mut dialer = Dialer::default();
     dialer.update_records(at(0), vec![record(1)].into());
     assert_eq!(dialer.due_attempts(at(0), |_| true).len(), 1);
@@ -82,27 +82,27 @@
 }
 
 #[test]
-fn a_gate_that_moved_is_dialed_there_without_delay() {
+fn gate_with_a_new_address_is_dialed_without_delay() {
     let mut dialer = Dialer::default();
     dialer.update_records(at(0), vec![record(1)].into());
-    for turn in 0..200 {
-        if !dialer.due_attempts(at(turn * TURN_US), |_| true).is_empty() {
+    for tick in 0..200 {
+        if !dialer.due_attempts(at(tick * TICK_US), |_| true).is_empty() {
             dialer.attempt_failed("g");
         }
     }
     dialer.update_records(at(2_000 * MS), vec![record(2)].into());
-    let due = (200..240).find(|turn| !dialer.due_attempts(at(turn * TURN_US), |_| true).is_empty());
-    let again = due.map(|turn| {
+    let due = (200..240).find(|tick| !dialer.due_attempts(at(tick * TICK_US), |_| true).is_empty());
+    let again = due.map(|tick| {
         dialer.attempt_failed("g");
-        (turn + 1..240).find(|turn| !dialer.due_attempts(at(turn * TURN_US), |_| true).is_empty())
+        (tick + 1..240).find(|tick| !dialer.due_attempts(at(tick * TICK_US), |_| true).is_empty())
     });
     let (first, second) = (due.unwrap(), again.flatten().unwrap());
     assert_eq!(first, 200);
-    assert!(second - first <= 5, "turns {first} and {second}");
+    assert!(second - first <= 5, "ticks {first} and {second}");
 }
 
 #[test]
-fn a_gate_without_a_record_is_forgotten_unless_its_session_lives() {
+fn gate_without_a_record_is_removed_once_its_session_closes() {
     let mut dialer = Dialer::default();
     dialer.update_records(at(0), vec![record(1)].into());
     assert_eq!(dialer.due_attempts(at(0), |_| true).len(), 1);
@@ -116,7 +116,7 @@
     dialer.session_closed(SessionId(1));
     assert!(
         dialer.due_attempts(at(5_100 * MS), |_| true).is_empty(),
-        "forgotten"
+        "the gate was not removed"
     );
     assert_eq!(dialer.connected("g", || SessionId(2)), None);
 }
--- a/tests/ephemeral_dispatcher.rs
+++ b/tests/ephemeral_dispatcher.rs
@@ -17,7 +17,7 @@
     assert_eq!(bench.starts.len(), 3);
     for start in bench.starts.clone() {
         assert!(bench.answers.is_empty());
-        bench.ended(start, RunEnd::Done);
+        bench.end_run(start, RunEnd::Done);
     }
     assert_eq!(bench.codes(), [ResultCode::Complete]);
 }
@@ -42,11 +42,11 @@
 fn a_failed_task_goes_to_another_gate_and_fails_its_job_after_its_attempts() {
     let mut bench = Bench::new(2);
     bench.submit(1, job(1, 1), 0);
-    bench.ended(bench.starts[0], RunEnd::Failed);
+    bench.end_run(bench.starts[0], RunEnd::Failed);
     assert_eq!(bench.starts.len(), 2);
     assert_ne!(bench.starts[0].0, bench.starts[1].0);
     assert_eq!(bench.starts[1].1.run, 2);
-    bench.ended(bench.starts[1], RunEnd::Failed);
+    bench.end_run(bench.starts[1], RunEnd::Failed);
     assert_eq!(bench.codes(), [ResultCode::TaskFailed]);
 }
 
@@ -54,10 +54,10 @@
 fn a_stop_is_no_failed_attempt() {
     let mut bench = Bench::new(3);
     bench.submit(1, job(1, 1), 0);
-    bench.ended(bench.starts[0], RunEnd::Stalled);
-    bench.ended(bench.starts[1], RunEnd::Stopped);
+    bench.end_run(bench.starts[0], RunEnd::Stalled);
+    bench.end_run(bench.starts[1], RunEnd::Stopped);
     assert_eq!(bench.starts.len(), 3);
-    bench.ended(bench.starts[2], RunEnd::Done);
+    bench.end_run(bench.starts[2], RunEnd::Done);
     assert_eq!(bench.codes(), [ResultCode::Complete]);
 }
 
@@ -65,7 +65,7 @@
 fn a_gate_that_had_no_room_is_not_asked_again_on_its_old_load() {
     let mut bench = Bench::new(2);
     bench.submit(1, job(1, 1), 0);
-    bench.ended(bench.starts[0], RunEnd::NotRun(NotRunReason::NoRoom));
+    bench.end_run(bench.starts[0], RunEnd::NotRun(NotRunReason::NoRoom));
     assert_ne!(bench.starts[0].0, bench.starts[1].0);
 }
 
@@ -75,12 +75,12 @@
 fn a_run_that_never_left_its_gate_uses_up_no_number_and_a_rejected_one_leaps() {
     let mut bench = Bench::new(2);
     bench.submit(1, job(1, 1), 0);
-    bench.ended(bench.starts[0], RunEnd::NotRun(NotRunReason::NoRoom));
+    bench.end_run(bench.starts[0], RunEnd::NotRun(NotRunReason::NoRoom));
     assert_eq!(bench.starts[1].1.run, 1);
     let mut last = 1;
     for _ in 0..5 {
         let start = *bench.starts.last().unwrap();
-        bench.ended(start, RunEnd::NotRun(NotRunReason::Rejected));
+        bench.end_run(start, RunEnd::NotRun(NotRunReason::Rejected));
         let run = bench.starts.last().unwrap().1.run;
         assert!(run > 2 * last, "{last} then {run}");
         last = run;
@@ -95,12 +95,12 @@
     let mut bench = Bench::new(2);
     bench.submit(1, job(1, 1), 0);
     let first = bench.starts[0];
-    bench.ended(first, RunEnd::NotRun(NotRunReason::NoRoom));
+    bench.end_run(first, RunEnd::NotRun(NotRunReason::NoRoom));
     let second = bench.starts[1];
     assert_eq!(first.1, second.1);
-    bench.ended(first, RunEnd::NotRun(NotRunReason::Unanswered));
+    bench.end_run(first, RunEnd::NotRun(NotRunReason::Unanswered));
     assert_eq!(bench.starts.len(), 2);
-    bench.ended(second, RunEnd::Done);
+    bench.end_run(second, RunEnd::Done);
     assert_eq!(bench.codes(), [ResultCode::Complete]);
 }
 
@@ -110,7 +110,7 @@
     bench.submit(1, job(1, 2), 0);
     let other = bench.starts[1].1;
     let here = RunEnd::NotRun(NotRunReason::AlreadyHere);
-    bench.ended(bench.starts[0], here);
+    bench.end_run(bench.starts[0], here);
     assert_eq!(bench.starts.len(), 2);
     assert_eq!(bench.stops, [other]);
     assert_eq!(bench.codes(), [ResultCode::OutcomeUnknown]);
@@ -122,7 +122,7 @@
 fn a_task_is_moved_once_for_being_slow() {
     let mut bench = Bench::new(3);
     bench.submit(1, job(1, 1), 0);
-    bench.ended(bench.starts[0], RunEnd::Stalled);
+    bench.end_run(bench.starts[0], RunEnd::Stalled);
     let movable: Vec<bool> = bench
         .actions
         .iter()
@@ -141,7 +141,7 @@
 fn where_every_gate_was_tried_one_of_them_is_tried_again() {
     let mut bench = Bench::new(1);
     bench.submit(1, job(1, 1), 0);
-    bench.ended(bench.starts[0], RunEnd::Stalled);
+    bench.end_run(bench.starts[0], RunEnd::Stalled);
     assert_eq!(bench.starts.len(), 2);
 }
 
@@ -167,12 +167,12 @@
     bench.submit(1, job(1, 2), 0);
     assert_eq!(bench.starts.len(), 2);
     bench.load(1, load(0, 900 * MS));
-    bench.pass(105);
+    bench.advance(105);
     bench.dispatcher.frame_received(bench.now, SessionId(1));
-    bench.ended(bench.starts[0], RunEnd::NotRun(NotRunReason::NoRoom));
+    bench.end_run(bench.starts[0], RunEnd::NotRun(NotRunReason::NoRoom));
     assert!(bench.answers.is_empty(), "the other task may have begun");
     assert_eq!(bench.stops, [bench.starts[1].1]);
-    bench.ended(bench.starts[1], RunEnd::NotRun(NotRunReason::Withdrawn));
+    bench.end_run(bench.starts[1], RunEnd::NotRun(NotRunReason::Withdrawn));
     assert_eq!(bench.codes(), [ResultCode::Overloaded]);
     assert_eq!(bench.answers[0].1.effect, Effect::NotRun);
 }
@@ -182,10 +182,10 @@
     let mut bench = Bench::new(1);
     bench.submit(1, job(1, 2), 0);
     let run = bench.starts[0].1;
-    bench.tell(1, ToEntry::Began { run });
+    bench.deliver(1, ToEntry::Began { run });
     for _ in 0..20 {
         bench.load(1, load(0, 5_000 * MS));
-        bench.pass(105);
+        bench.advance(105);
     }
     assert_eq!(bench.codes(), [ResultCode::DeadlinePassed]);
     assert_ne!(bench.answers[0].1.effect, Effect::NotRun);
@@ -197,7 +197,7 @@
     bench.submit(1, job(1, 1), 0);
     bench.submit(2, job(1, 1), 0);
     assert_eq!(bench.starts.len(), 1);
-    bench.ended(bench.starts[0], RunEnd::Done);
+    bench.end_run(bench.starts[0], RunEnd::Done);
     assert_eq!(bench.codes(), [ResultCode::Complete; 2]);
     bench.submit(3, job(1, 1), 0);
     assert_eq!(bench.starts.len(), 1, "its answer is still known");
@@ -229,7 +229,7 @@
     let other = SessionId(3 - session.0);
     for _ in 0..5 {
         bench.dispatcher.frame_received(bench.now, other);
-        bench.pass(100);
+        bench.advance(100);
     }
     assert_eq!(bench.codes(), [ResultCode::OutcomeUnknown]);
 }
@@ -239,7 +239,7 @@
     let mut bench = Bench::new(1);
     bench.submit(1, job(1, 1), 0);
     bench.dispatcher.disconnected(SessionId(1));
-    bench.pass(100);
+    bench.advance(100);
     assert!(bench.answers.is_empty());
     bench.actions.clear();
     let name: Arc<str> = "g1".into();
@@ -273,7 +273,7 @@
         name,
         incarnation: 1,
     };
-    bench.tell(9, ToEntry::Hello { gate, config: 0 });
+    bench.deliver(9, ToEntry::Hello { gate, config: 0 });
     assert_eq!(bench.stops, [bench.starts[0].1]);
 }
 
@@ -303,7 +303,7 @@
     bench.submit(1, job(1, 1), 0);
     for _ in 0..60 {
         let start = *bench.starts.last().unwrap();
-        bench.ended(start, RunEnd::NotRun(NotRunReason::Rejected));
+        bench.end_run(start, RunEnd::NotRun(NotRunReason::Rejected));
     }
     assert_eq!(bench.starts.len(), 61);
 }
--- a/tests/ephemeral_entry_lag.rs
+++ b/tests/ephemeral_entry_lag.rs
@@ -25,7 +25,7 @@
 
 /// A turn that comes late, with the frames that waited meanwhile.
 fn turn(bench: &mut Bench, late_ms: u64, frames_ms: [u64; 5]) {
-    bench.pass(10 + late_ms);
+    bench.advance(10 + late_ms);
     let late = Duration::from_millis(late_ms);
     bench.dispatcher.record_late_tick(bench.now, late);
     for wait_ms in frames_ms {
@@ -109,9 +109,9 @@
             id += 1;
             bench.submit(id, job(id, 1), 0);
             if let Some(start) = bench.starts.last().copied() {
-                bench.ended(start, RunEnd::Done);
+                bench.end_run(start, RunEnd::Done);
             }
-            bench.pass(10 - late_ms.min(10));
+            bench.advance(10 - late_ms.min(10));
             for gate in 1..=4 {
                 bench.load(gate, dispatcher_bench::load(1_000, 0));
             }
@@ -150,7 +150,7 @@
         let before = bench.starts.len();
         bench.submit(2 * id + 1, long_job(2 * id + 1), 2);
         for start in bench.starts.split_off(before) {
-            bench.ended(start, RunEnd::Done);
+            bench.end_run(start, RunEnd::Done);
             taken += 1;
         }
         for gate in 1..=4 {
--- a/tests/ephemeral_evacuation.rs
+++ b/tests/ephemeral_evacuation.rs
@@ -28,7 +28,7 @@
 fn a_gate_refuses_what_waits_and_what_comes_and_lets_run_what_runs() {
     let mut bench = GateBench::ready();
     bench.order(run(1), 600, 100);
-    bench.started(run(1), Ok(StartReply::Running));
+    bench.answer_start(run(1), Ok(StartReply::Running));
     bench.order(run(2), 600, 100);
     bench.gate.set_evacuated(bench.now, true);
     bench.collect();
@@ -38,13 +38,13 @@
     let load = bench.last_load();
     assert!(load.leaving && load.evacuated);
     assert_eq!(load.free.cpu_milli, 0);
-    bench.lists(vec![], vec![(1, run(1), WorkerEnd::Done)]);
+    bench.list_runs(vec![], vec![(1, run(1), WorkerEnd::Done)]);
     assert!(bench.ends().contains(&(run(1), RunEnd::Done)));
     bench.gate.set_evacuated(bench.now, false);
     bench.collect();
     bench.order(run(4), 100, 100);
     assert_eq!(bench.ordered().last(), Some(&run(4)));
-    bench.pass(200);
+    bench.advance(200);
     assert!(!bench.last_load().leaving);
 }
 
@@ -54,7 +54,7 @@
     bench.order(run(1), 100, 100);
     bench.gate.set_evacuated(bench.now, true);
     bench.collect();
-    bench.started(run(1), Err(WorkerCallError::Unanswered));
+    bench.answer_start(run(1), Err(WorkerCallError::Unanswered));
     assert_eq!(bench.ordered(), [run(1)], "once");
     assert_eq!(bench.stops(), [run(1)], "it is barred");
 }
@@ -66,7 +66,7 @@
     bench.order(run(1), 100, 100);
     assert_eq!(bench.ends(), [(run(1), EVACUATED)]);
     bench.gate.frame_received(bench.now, gate_bench::ENTRY);
-    bench.pass(310);
+    bench.advance(310);
     bench.gate.frame_received(bench.now, gate_bench::ENTRY);
     bench.order(run(2), 100, 100);
     assert_eq!(bench.ordered(), [run(2)], "the store may be away");
@@ -88,7 +88,7 @@
     assert_eq!(bench.starts.len(), 4);
     assert!(bench.starts.iter().all(|(session, _)| session.0 != 1));
     let start = bench.starts[0];
-    bench.ended(start, EVACUATED);
+    bench.end_run(start, EVACUATED);
     assert_eq!(bench.starts.len(), 5, "it goes elsewhere at once");
     assert_ne!(bench.starts[4].0, start.0);
 }
--- a/tests/ephemeral_fair_shares.rs
+++ b/tests/ephemeral_fair_shares.rs
@@ -59,7 +59,7 @@
             for _ in 0..5 {
                 refused.1 += u64::from(self.refuses(load, "burst", priority));
             }
-            self.bench.pass(1_000 / CALM);
+            self.bench.advance(1_000 / CALM);
         }
         refused
     }
@@ -68,7 +68,7 @@
         for _ in 0..4 * CALM {
             self.refuses(&free(), "calm", 1);
             self.refuses(&free(), "burst", priority);
-            self.bench.pass(1_000 / CALM);
+            self.bench.advance(1_000 / CALM);
         }
     }
 }
@@ -125,10 +125,10 @@
 fn demand_that_comes_back_after_a_pause_is_usual() {
     let mut site = Site::new();
     site.calm(1);
-    site.bench.steady(20_000);
+    site.bench.advance_connected(20_000);
     site.bench.connect(1);
     for _ in 0..2 * CALM {
         assert!(!site.refuses(&short_of_room(), "calm", 1));
-        site.bench.pass(1_000 / CALM);
+        site.bench.advance(1_000 / CALM);
     }
 }
--- a/tests/ephemeral_fleet/callers.rs
+++ b/tests/ephemeral_fleet/callers.rs
@@ -1,4 +1,4 @@
-//! Callers: they send, wait, send again, and check what they are told.
+//! Callers: they send jobs, wait, resend them and check the answers.
 
 use rand::RngExt;
 use winghold::code::{Effect, ResultCode};
@@ -7,32 +7,32 @@
 use winghold::message::Answer;
 use winghold::time::micros;
 
-use super::crashes::CRASHES_OF_FAILED;
-use super::{CALLER_WAITS_US, Caller, EntryIn, Fleet, RESEND};
+use super::crashes::MIN_CRASHES_OF_FAILED_TASK;
+use super::{CALLER_TIMEOUT_US, Caller, EntryEvent, Fleet, RESEND_DELAY};
 
 impl Fleet {
     pub fn submit(&mut self, count: u32, estimate_us: u64) {
-        self.jobs += 1;
+        self.last_job += 1;
         let caller = Caller {
             count,
             estimate_us,
             waiter: None,
             resend_at_us: None,
             started: false,
-            refused_all: true,
-            told_of_losses: false,
-            since_us: self.now_us,
+            only_refused: true,
+            losses_reported: false,
+            first_sent_us: self.now_us,
             answer: None,
         };
-        let id = JobId(self.jobs);
+        let id = JobId(self.last_job);
         self.callers.insert(id, caller);
         self.send(id);
     }
 
     pub(super) fn send(&mut self, id: JobId) {
         let index = self.rng.random_range(0..self.entries.len());
-        self.waiters += 1;
-        let waiter = WaiterId(self.waiters);
+        self.last_waiter += 1;
+        let waiter = WaiterId(self.last_waiter);
         let now_us = self.now_us;
         let Some(caller) = self.callers.get_mut(&id) else {
             return;
@@ -40,24 +40,24 @@
         caller.resend_at_us = None;
         let (count, estimate_us) = (caller.count, caller.estimate_us);
         match &mut self.entries[index] {
-            None => caller.resend_at_us = Some(now_us + micros(RESEND)),
+            None => caller.resend_at_us = Some(now_us + micros(RESEND_DELAY)),
             Some(entry) => {
                 caller.waiter = Some((waiter, index, now_us));
-                entry.asked.insert(waiter, id);
-                let submit = EntryIn::Submit(waiter, id.0, count, estimate_us);
+                entry.waiters.insert(waiter, id);
+                let submit = EntryEvent::Submit(waiter, id.0, count, estimate_us);
                 entry.inbox.push_back(submit);
             }
         }
     }
 
-    /// A caller's connection broke, or it heard an answer that says nothing.
-    pub(super) fn heard_nothing(&mut self, id: JobId, waiter: WaiterId) {
-        let resend_at_us = self.now_us + micros(RESEND);
+    /// Schedules a resend after a broken connection or an answer with an unknown outcome.
+    pub(super) fn schedule_resend(&mut self, id: JobId, waiter: WaiterId) {
+        let resend_at_us = self.now_us + micros(RESEND_DELAY);
         if let Some(caller) = self.callers.get_mut(&id)
-            && caller.waiter.is_some_and(|(asked, ..)| asked == waiter)
+            && caller.waiter.is_some_and(|(current, ..)| current == waiter)
         {
             caller.waiter = None;
-            caller.refused_all = false;
+            caller.only_refused = false;
             caller.resend_at_us = Some(resend_at_us);
         }
     }
@@ -66,7 +66,7 @@
         let Some(process) = &mut self.entries[entry] else {
             return;
         };
-        let Some(id) = process.asked.remove(&waiter) else {
+        let Some(id) = process.waiters.remove(&waiter) else {
             return;
         };
         let refusal = answer.effect == Effect::NotRun && answer.code == ResultCode::Overloaded;
@@ -75,63 +75,63 @@
             ResultCode::OutcomeUnknown | ResultCode::DeadlinePassed
         );
         if let Some(caller) = self.callers.get_mut(&id) {
-            caller.told_of_losses = unknown && answer.message.contains("may have been lost");
+            caller.losses_reported = unknown && answer.message.contains("may have been lost");
         }
         if unknown {
             self.unknown += 1;
-            self.heard_nothing(id, waiter);
-            self.lose_patience(id);
+            self.schedule_resend(id, waiter);
+            self.stop_resending_after_timeout(id);
             return;
         }
         let Some(caller) = self.callers.get_mut(&id) else {
             return;
         };
-        if caller.waiter.is_none_or(|(asked, ..)| asked != waiter) {
+        if caller.waiter.is_none_or(|(current, ..)| current != waiter) {
             return;
         }
         caller.waiter = None;
         caller.answer = Some(answer.code.number());
         if refusal {
-            if caller.refused_all && caller.started {
-                let text = format!("{id} was refused after a start");
+            if caller.only_refused && caller.started {
+                let text = format!("{id} was refused after one of its tasks started");
                 self.violations.push(text);
             }
             return;
         }
-        let crashes = self.lost_under(id);
-        if answer.code == ResultCode::TaskFailed && crashes < CRASHES_OF_FAILED {
-            let text = format!("{id} was failed, but {crashes} workers crashed under it");
+        let crashes = self.crashes_while_running(id);
+        if answer.code == ResultCode::TaskFailed && crashes < MIN_CRASHES_OF_FAILED_TASK {
+            let text = format!("{id} failed, but only {crashes} workers crashed while they ran it");
             self.violations.push(text);
         }
         let Some(caller) = self.callers.get_mut(&id) else {
             return;
         };
         self.completed += usize::from(answer.code == ResultCode::Complete);
-        caller.refused_all = false;
+        caller.only_refused = false;
     }
 
-    /// A caller that is told again and again that workers may have been lost under its job
-    /// asks no further.
-    fn lose_patience(&mut self, id: JobId) {
+    /// Ends the resends of a caller that still gets reports of possible losses after its
+    /// timeout.
+    fn stop_resending_after_timeout(&mut self, id: JobId) {
         if let Some(caller) = self.callers.get_mut(&id)
-            && caller.told_of_losses
-            && self.now_us > caller.since_us + CALLER_WAITS_US
+            && caller.losses_reported
+            && self.now_us > caller.first_sent_us + CALLER_TIMEOUT_US
         {
             caller.resend_at_us = None;
         }
     }
 
-    pub(super) fn callers_turn(&mut self) {
+    pub(super) fn step_callers(&mut self) {
         let now_us = self.now_us;
         let mut hang_up = Vec::new();
         let mut again = Vec::new();
         for (id, caller) in &mut self.callers {
-            if let Some((waiter, entry, since_us)) = caller.waiter
-                && now_us > since_us + CALLER_WAITS_US
+            if let Some((waiter, entry, sent_us)) = caller.waiter
+                && now_us > sent_us + CALLER_TIMEOUT_US
             {
                 caller.waiter = None;
-                caller.refused_all = false;
-                caller.resend_at_us = Some(now_us + micros(RESEND));
+                caller.only_refused = false;
+                caller.resend_at_us = Some(now_us + micros(RESEND_DELAY));
                 hang_up.push((entry, waiter, *id));
             }
             if caller.resend_at_us.is_some_and(|at| now_us >= at) {
@@ -140,8 +140,8 @@
         }
         for (entry, waiter, id) in hang_up {
             if let Some(process) = &mut self.entries[entry] {
-                process.asked.remove(&waiter);
-                process.inbox.push_back(EntryIn::Gone(waiter, id));
+                process.waiters.remove(&waiter);
+                process.inbox.push_back(EntryEvent::CallerLeft(waiter, id));
             }
         }
         for id in again {
--- a/tests/ephemeral_fleet/connections.rs
+++ b/tests/ephemeral_fleet/connections.rs
@@ -1,4 +1,4 @@
-//! Connections between entries and gates: opened, closed, cut and dead.
+//! Connections between entries and gates, and the faults of connections.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -13,7 +13,7 @@
 pub(super) struct Link<M> {
     pub(super) frames: VecDeque<(u64, u64, Vec<M>)>,
     pub(super) clock: FrameClock,
-    /// The receiver may still read what is in its buffer.
+    /// The receiver may still read buffered frames.
     pub(super) closed: bool,
 }
 
@@ -34,23 +34,28 @@
     pub(super) gate_session: SessionId,
     pub(super) to_gate: Link<ToGate>,
     pub(super) to_entry: Link<ToEntry>,
-    /// Carries nothing any more, not even its end, while a new one would work.
+    /// Drops everything, also its close, while a new connection would work.
     pub(super) silent: bool,
 }
 
-/// What a process finds when it reads a link.
+/// Result of reading a frame from a link.
 pub(super) enum Read<M> {
     Messages(Vec<M>),
-    /// A frame that was under way for too long; the link is closed.
+    /// The frame exceeded its maximum age; the link is closed.
     Late,
 }
 
 impl<M> Link<M> {
-    /// The next frame that has arrived by `now_us`, on the reader's clock at `now`.
-    pub(super) fn read(&mut self, now_us: u64, now: Moment, most_age_us: u64) -> Option<Read<M>> {
+    /// Reads the next frame that arrived by `now_us`; `now` is the reader's clock.
+    pub(super) fn read(
+        &mut self,
+        now_us: u64,
+        now: Moment,
+        max_frame_age_us: u64,
+    ) -> Option<Read<M>> {
         let arrived = |(at_us, ..): &mut (u64, u64, Vec<M>)| *at_us <= now_us;
         let (_, sent_us, messages) = self.frames.pop_front_if(arrived)?;
-        if self.clock.age_us(now, sent_us) <= most_age_us {
+        if self.clock.age_us(now, sent_us) <= max_frame_age_us {
             return Some(Read::Messages(messages));
         }
         self.closed = true;
@@ -60,9 +65,9 @@
 }
 
 impl Fleet {
-    /// Age from which frames are not acted on.
-    pub(super) fn most_age_us(&self) -> u64 {
-        match self.without.frame_age {
+    /// Maximum age of a frame that is still handled.
+    pub(super) fn max_frame_age_us(&self) -> u64 {
+        match self.disabled.frame_age {
             true => u64::MAX,
             false => micros(self.limits.max_frame_age),
         }
@@ -72,29 +77,29 @@
         self.close_connections(|connection| connection.entry == entry, true);
     }
 
-    /// An entry closes its session with a gate where it has no work, and opens none
-    /// until [`Fleet::join`].
-    pub fn part(&mut self, entry: usize, gate: usize) {
+    /// Closes an entry's session with a gate if it has no work there; idle sessions reopen
+    /// only after [`Fleet::reconnect`].
+    pub fn disconnect_idle(&mut self, entry: usize, gate: usize) {
         if self.has_work(entry, gate) {
             return;
         }
-        self.apart.insert((entry, gate));
+        self.separated.insert((entry, gate));
         self.close_connections(|one| (one.entry, one.gate) == (entry, gate), true);
     }
 
-    /// An entry has sessions with all gates again.
-    pub fn join(&mut self, entry: usize) {
-        self.apart.retain(|(parted, _)| *parted != entry);
+    /// Lets an entry open sessions with all gates again.
+    pub fn reconnect(&mut self, entry: usize) {
+        self.separated.retain(|(separated, _)| *separated != entry);
     }
 
-    /// Whether an entry has work at a gate: it knows no records, and wants sessions
-    /// for that only.
+    /// Whether an entry has work at a gate. It has no records of gates, so it wants
+    /// sessions only for work.
     fn has_work(&self, entry: usize, gate: usize) -> bool {
         let process = self.entries[entry].as_ref();
         process.is_some_and(|process| process.dispatcher.wants_session(&format!("gate-{gate}")))
     }
 
-    /// Every connection of an entry goes dead without a word.
+    /// Makes all connections of an entry drop everything without closing.
     pub fn silence_connections(&mut self, entry: usize) {
         let of_entry = self.connections.iter_mut().filter(|one| one.entry == entry);
         for connection in of_entry {
@@ -104,8 +109,8 @@
         }
     }
 
-    /// Closes connections; with a reset what the peers have not read is lost. The
-    /// end of a dead connection does not reach its other side.
+    /// Closes connections; a reset may discard unread frames. Silent connections do not
+    /// notify the other side.
     pub(super) fn close_connections(&mut self, which: impl Fn(&Connection) -> bool, reset: bool) {
         let buffered = self.rng.random_bool(0.5);
         let alive = self.connections.iter_mut().filter(|one| !one.silent);
@@ -127,7 +132,7 @@
             && gate.is_some_and(|process| up(process.cut_until_us))
     }
 
-    /// Entries connect to gates they have no connection to.
+    /// Connects entries to gates that they have no connection to.
     pub(super) fn dial(&mut self) {
         for entry in 0..self.entries.len() {
             for gate in 0..self.gates.len() {
@@ -138,7 +143,7 @@
                     .connections
                     .iter()
                     .any(|one| (one.entry, one.gate) == (entry, gate) && !one.to_entry.closed);
-                let wanted = !self.apart.contains(&(entry, gate)) || self.has_work(entry, gate);
+                let wanted = !self.separated.contains(&(entry, gate)) || self.has_work(entry, gate);
                 if awake && !open && wanted && self.reachable(entry, gate) {
                     self.connect(entry, gate);
                 }
--- a/tests/ephemeral_fleet/crashes.rs
+++ b/tests/ephemeral_fleet/crashes.rs
@@ -1,4 +1,4 @@
-//! Tasks that crash the workers that start them, and workers that are down for a while.
+//! Tasks that crash their workers, and temporary outages of workers.
 
 use std::collections::HashMap;
 
@@ -7,169 +7,181 @@
 
 use super::Fleet;
 
-/// Workers that must have crashed under a task whose job is shown as failed for it.
-pub(super) const CRASHES_OF_FAILED: u32 = 2;
-/// Workers that may crash under one task before its starts are counted.
-const CRASHES: u32 = 3;
-/// Time after a disturbance of a gate's machine in which its starts do not count: it may
-/// not have been told yet what others know.
-const OUT_OF_TOUCH_US: u64 = 3_000_000;
-/// Starts after that which break the promise.
-const STARTS_TOO_MANY: u32 = 3;
-
-/// How a worker goes down.
+/// Minimum number of crashes under a task before its job may fail.
+pub(super) const MIN_CRASHES_OF_FAILED_TASK: u32 = 2;
+/// Number of crashes under a task after which further starts are counted.
+const MAX_CRASHES_PER_TASK: u32 = 3;
+/// Time after a fault of a gate in which its starts are not counted, as it may not have
+/// received the losses yet.
+const RECOVERY_US: u64 = 3_000_000;
+/// Number of counted starts that is a violation.
+const EXCESS_STARTS: u32 = 3;
+
+/// How the outage of a worker looks to its peers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Down {
-    /// Its connections are reset, and nothing listens.
+pub enum Outage {
+    /// Connections are reset and new ones refused.
     Refuses,
-    /// Without a word, like a machine without power.
+    /// No answer at all, as after a loss of power.
     Silent,
 }
 
-/// What the tasks of a job do to their workers.
+/// How a task of a job crashes its worker.
 #[derive(Clone, Copy, Debug)]
-pub struct Harm {
-    /// Number of the task that does it; the others are harmless.
+pub struct TaskCrash {
+    /// Index of the task that crashes its worker.
     pub index: u32,
     /// Time from its start to the crash.
-    pub fuse_us: u64,
-    /// How the worker goes down.
-    pub down: Down,
-    /// How long it stays down.
-    pub down_us: u64,
+    pub delay_us: u64,
+    pub outage: Outage,
+    pub outage_us: u64,
 }
 
 #[derive(Debug)]
-struct Due {
+struct PendingCrash {
     at_us: u64,
     worker: usize,
-    life: WorkerId,
+    worker_id: WorkerId,
     task: (JobId, u32),
-    harm: Harm,
+    crash: TaskCrash,
 }
 
-/// Crashes to come, and those that were.
+/// Scheduled and past crashes.
 #[derive(Debug, Default)]
 pub struct Crashes {
-    harms: HashMap<JobId, Harm>,
-    due: Vec<Due>,
-    /// Workers that crashed under each task.
-    under: HashMap<(JobId, u32), u32>,
-    /// Workers that crashed while they ran each task, whatever crashed them.
-    lost_under: HashMap<(JobId, u32), u32>,
-    /// Starts of each task after the last crash that is allowed.
-    starts_after: HashMap<(JobId, u32), u32>,
-    /// Workers that are down, by when they are back.
-    back_us: HashMap<usize, u64>,
-    /// Until when the machines of gates are disturbed.
-    disturbed_us: HashMap<usize, u64>,
+    task_crashes: HashMap<JobId, TaskCrash>,
+    pending: Vec<PendingCrash>,
+    /// Number of crashes that each task caused.
+    caused: HashMap<(JobId, u32), u32>,
+    /// Number of crashes while each task ran, whatever the cause.
+    crashes_while_running: HashMap<(JobId, u32), u32>,
+    /// Starts of each task after the last allowed crash.
+    excess_starts: HashMap<(JobId, u32), u32>,
+    /// When each worker that is down comes back.
+    restart_at_us: HashMap<usize, u64>,
+    /// When the fault of each gate ends.
+    disturbed_until_us: HashMap<usize, u64>,
 }
 
 impl Fleet {
-    /// The next job that is sent harms its workers so.
-    pub fn next_job_harms(&mut self, harm: Harm) -> JobId {
-        let job = JobId(self.jobs + 1);
-        self.crashes.harms.insert(job, harm);
+    /// Makes the next submitted job crash its workers.
+    pub fn next_job_crashes(&mut self, crash: TaskCrash) -> JobId {
+        let job = JobId(self.last_job + 1);
+        self.crashes.task_crashes.insert(job, crash);
         job
     }
 
-    /// Workers that crashed under the tasks of `job`.
-    pub fn crashes_under(&self, job: JobId) -> u32 {
-        let under = self.crashes.under.iter();
-        under
+    /// Number of crashes that the tasks of `job` caused.
+    pub fn crashes_caused_by(&self, job: JobId) -> u32 {
+        let tasks = self.crashes.caused.iter();
+        tasks
             .filter(|(task, _)| task.0 == job)
             .map(|(_, n)| n)
             .sum()
     }
 
-    /// Most workers that crashed while they ran one task of `job`, for whatever reason.
-    pub fn lost_under(&self, job: JobId) -> u32 {
-        let under = self.crashes.lost_under.iter();
-        let of_job = under.filter(|(task, _)| task.0 == job);
+    /// Highest number of crashes while one task of `job` ran, whatever the cause.
+    pub fn crashes_while_running(&self, job: JobId) -> u32 {
+        let tasks = self.crashes.crashes_while_running.iter();
+        let of_job = tasks.filter(|(task, _)| task.0 == job);
         of_job.map(|(_, n)| *n).max().unwrap_or(0)
     }
 
-    /// Notes what a worker that crashes now takes along.
-    pub(super) fn note_crash(&mut self, worker: usize) {
+    /// Counts a crash for each task that runs on the worker.
+    pub(super) fn record_crash(&mut self, worker: usize) {
         for run in self.workers[worker].running() {
             let task = (run.job, run.index);
-            *self.crashes.lost_under.entry(task).or_default() += 1;
+            *self.crashes.crashes_while_running.entry(task).or_default() += 1;
         }
     }
 
-    /// A worker goes down for a while and comes back as another life.
-    pub fn take_down(&mut self, index: usize, down: Down, down_us: u64) {
+    /// Crashes a worker; it comes back after the outage under a new name.
+    pub fn take_down(&mut self, index: usize, outage: Outage, outage_us: u64) {
         self.crash_worker(index);
         let worker = &mut self.workers[index];
         worker.up = false;
-        worker.refuses = down == Down::Refuses;
-        self.crashes.back_us.insert(index, self.now_us + down_us);
+        worker.refuses = outage == Outage::Refuses;
+        self.crashes
+            .restart_at_us
+            .insert(index, self.now_us + outage_us);
     }
 
-    /// A worker goes down for a while and starts again under its name. What waits in it, or
-    /// comes while nothing listens, is gone; one that starts again at once gets what is on
-    /// its way.
-    pub fn take_down_and_restart(&mut self, index: usize, down: Down, down_us: u64) {
+    /// Crashes a worker; it comes back after the outage under the same name. Orders that
+    /// are still to be carried out are lost.
+    pub fn take_down_and_restart(&mut self, index: usize, outage: Outage, outage_us: u64) {
         self.restart_worker(index, 0);
         self.late.retain(|(_, order)| order.worker() != index);
         let worker = &mut self.workers[index];
         worker.up = false;
-        worker.refuses = down == Down::Refuses;
-        self.crashes.back_us.insert(index, self.now_us + down_us);
+        worker.refuses = outage == Outage::Refuses;
+        self.crashes
+            .restart_at_us
+            .insert(index, self.now_us + outage_us);
     }
 
-    /// The machine of a gate is disturbed for a while from now on.
+    /// Notes a fault of a gate that lasts for `for_us`.
     pub fn disturb_gate(&mut self, gate: usize, for_us: u64) {
-        let until_us = self.crashes.disturbed_us.entry(gate).or_default();
+        let until_us = self.crashes.disturbed_until_us.entry(gate).or_default();
         *until_us = (*until_us).max(self.now_us + for_us);
     }
 
-    fn in_touch(&self, gate: usize) -> bool {
-        let until_us = self.crashes.disturbed_us.get(&gate);
-        until_us.is_none_or(|until_us| self.now_us > until_us + OUT_OF_TOUCH_US)
+    fn has_recovered(&self, gate: usize) -> bool {
+        let until_us = self.crashes.disturbed_until_us.get(&gate);
+        until_us.is_none_or(|until_us| self.now_us > until_us + RECOVERY_US)
     }
 
-    /// A run began on a worker.
-    pub(super) fn note_begin(&mut self, worker: usize, run: RunId) {
+    /// Counts a start and schedules the crash that the task causes.
+    pub(super) fn record_start(&mut self, worker: usize, run: RunId) {
         let task = (run.job, run.index);
-        let counts = self.in_touch(worker);
-        if counts && self.crashes.under.get(&task).is_some_and(|n| *n >= CRASHES) {
-            let starts = self.crashes.starts_after.entry(task).or_default();
+        let counted = self.has_recovered(worker);
+        if counted
+            && self
+                .crashes
+                .caused
+                .get(&task)
+                .is_some_and(|n| *n >= MAX_CRASHES_PER_TASK)
+        {
+            let starts = self.crashes.excess_starts.entry(task).or_default();
             *starts += 1;
-            if *starts == STARTS_TOO_MANY {
-                let text = format!("{run} is one start too many under which workers crash");
+            if *starts == EXCESS_STARTS {
+                let text = format!(
+                    "{run} started after its task had crashed {MAX_CRASHES_PER_TASK} workers"
+                );
                 self.violations.push(text);
             }
         }
-        let harm = self.crashes.harms.get(&run.job);
-        if let Some(harm) = harm.filter(|harm| harm.index == run.index) {
-            self.crashes.due.push(Due {
-                at_us: self.now_us + harm.fuse_us,
+        let crash = self.crashes.task_crashes.get(&run.job);
+        if let Some(crash) = crash.filter(|crash| crash.index == run.index) {
+            self.crashes.pending.push(PendingCrash {
+                at_us: self.now_us + crash.delay_us,
                 worker,
-                life: self.workers[worker].id.clone(),
+                worker_id: self.workers[worker].id.clone(),
                 task,
-                harm: *harm,
+                crash: *crash,
             });
         }
     }
 
-    pub(super) fn crashes_turn(&mut self) {
+    pub(super) fn step_crashes(&mut self) {
         let now_us = self.now_us;
-        let back = self.crashes.back_us.extract_if(|_, at_us| *at_us <= now_us);
-        for (index, _) in back {
+        let restarted = self
+            .crashes
+            .restart_at_us
+            .extract_if(|_, at_us| *at_us <= now_us);
+        for (index, _) in restarted {
             self.workers[index].up = true;
         }
-        let due: Vec<Due> = self
+        let due: Vec<PendingCrash> = self
             .crashes
-            .due
+            .pending
             .extract_if(.., |due| due.at_us <= now_us)
             .collect();
         for due in due {
-            // A run that was stopped before harms nobody.
+            // A run that was stopped in time does not crash its worker.
             let worker = &self.workers[due.worker];
-            if worker.id == due.life && worker.runs(due.task.0, due.task.1) {
-                *self.crashes.under.entry(due.task).or_default() += 1;
-                self.take_down(due.worker, due.harm.down, due.harm.down_us);
+            if worker.id == due.worker_id && worker.runs(due.task.0, due.task.1) {
+                *self.crashes.caused.entry(due.task).or_default() += 1;
+                self.take_down(due.worker, due.crash.outage, due.crash.outage_us);
             }
         }
     }
--- a/tests/ephemeral_fleet/entries.rs
+++ b/tests/ephemeral_fleet/entries.rs
@@ -1,4 +1,4 @@
-//! A turn of an entry: what it reads, decides and sends.
+//! One step of an entry: reading its connections, and applying the dispatcher's actions.
 
 use std::collections::HashMap;
 
@@ -9,10 +9,10 @@
 use winghold::time::Moment;
 
 use super::connections::{Connection, Read};
-use super::{CALLER_WAITS_US, EntryIn, Fleet, route, spec};
+use super::{CALLER_TIMEOUT_US, EntryEvent, Fleet, route, spec};
 
 impl Fleet {
-    pub(super) fn entry_turn(&mut self, index: usize) {
+    pub(super) fn step_entry(&mut self, index: usize) {
         let now = self.moment(index);
         let frozen = self.entries[index]
             .as_ref()
@@ -20,40 +20,42 @@
         if frozen {
             return;
         }
-        self.entry_reads(index, now);
+        self.read_entry_connections(index, now);
         let Some(process) = &mut self.entries[index] else {
             return;
         };
         process.dispatcher.tick(now);
         while let Some(event) = process.inbox.pop_front() {
             match event {
-                EntryIn::Submit(waiter, id, count, estimate_us) => {
+                EntryEvent::Submit(waiter, id, count, estimate_us) => {
                     let spec = spec(id, count, estimate_us);
-                    let (route, wait_us) = (route(id, 3), CALLER_WAITS_US);
+                    let (route, wait_us) = (route(id, 3), CALLER_TIMEOUT_US);
                     process.dispatcher.submit(now, waiter, spec, route, wait_us);
                 }
-                EntryIn::Gone(waiter, id) => process.dispatcher.remove_waiter(now, waiter, id),
+                EntryEvent::CallerLeft(waiter, id) => {
+                    process.dispatcher.remove_waiter(now, waiter, id)
+                }
             }
         }
         let actions = process.dispatcher.take_actions(now);
-        self.carry_out_entry(index, actions);
+        self.apply_entry_actions(index, actions);
     }
 
-    pub(super) fn entry_reads(&mut self, index: usize, now: Moment) {
+    pub(super) fn read_entry_connections(&mut self, index: usize, now: Moment) {
         let mut lost = Vec::new();
-        let (now_us, most_age_us) = (self.now_us, self.most_age_us());
+        let (now_us, max_frame_age_us) = (self.now_us, self.max_frame_age_us());
         for at in 0..self.connections.len() {
             if self.connections[at].entry != index {
                 continue;
             }
             let gate = self.connections[at].gate;
-            let flows = self.reachable(index, gate) || self.gates[gate].is_none();
+            let readable = self.reachable(index, gate) || self.gates[gate].is_none();
             let Some(process) = &mut self.entries[index] else {
                 return;
             };
             let connection = &mut self.connections[at];
             let link = &mut connection.to_entry;
-            while flows && let Some(read) = link.read(now_us, now, most_age_us) {
+            while readable && let Some(read) = link.read(now_us, now, max_frame_age_us) {
                 let Read::Messages(messages) = read else {
                     connection.to_gate.closed = true;
                     break;
@@ -78,7 +80,7 @@
         }
     }
 
-    pub(super) fn carry_out_entry(&mut self, index: usize, actions: Vec<DispatchAction>) {
+    pub(super) fn apply_entry_actions(&mut self, index: usize, actions: Vec<DispatchAction>) {
         let sent_us = self.moment(index).mono_us;
         let mut outbox: HashMap<SessionId, Vec<ToGate>> = HashMap::new();
         let mut redial = Vec::new();
@@ -114,7 +116,7 @@
         }
     }
 
-    /// Opens another connection beside the present one, which may be dead.
+    /// Opens a connection beside the present one, which may be dead.
     pub(super) fn redial(&mut self, entry: usize, name: &str) {
         let gate = (0..self.gates.len()).find(|gate| name == format!("gate-{gate}"));
         if let Some(gate) = gate.filter(|gate| self.reachable(entry, *gate)) {
--- a/tests/ephemeral_fleet/gates.rs
+++ b/tests/ephemeral_fleet/gates.rs
@@ -1,4 +1,4 @@
-//! A turn of a gate: what its worker answers, what it reads, decides and sends.
+//! One step of a gate: worker answers, reading its connections, and applying its actions.
 
 use std::collections::{HashMap, VecDeque};
 
@@ -10,10 +10,10 @@
 use winghold::time::Moment;
 
 use super::connections::{Connection, Read};
-use super::{Answered, Fleet, HEARTBEAT_US};
+use super::{Fleet, HEARTBEAT_INTERVAL_US, WorkerAnswer};
 
 impl Fleet {
-    pub(super) fn gate_turn(&mut self, index: usize) {
+    pub(super) fn step_gate(&mut self, index: usize) {
         let now = self.gate_moment(index);
         let frozen = self.gates[index]
             .as_ref()
@@ -21,37 +21,37 @@
         if frozen {
             return;
         }
-        self.hear_of_evacuation(index, now);
-        self.report(index, now);
-        self.gate_answers(index, now);
-        self.gate_reads(index, now);
+        self.apply_evacuation_state(index, now);
+        self.send_heartbeat(index, now);
+        self.deliver_worker_answers(index, now);
+        self.read_gate_connections(index, now);
         let Some(process) = &mut self.gates[index] else {
             return;
         };
         process.gate.tick(now);
         let actions = process.gate.take_actions(now);
-        self.carry_out_gate(index, actions);
+        self.apply_gate_actions(index, actions);
     }
 
-    pub(super) fn report(&mut self, index: usize, now: Moment) {
+    pub(super) fn send_heartbeat(&mut self, index: usize, now: Moment) {
         let now_us = self.now_us;
         let worker = &self.workers[index];
         let Some(process) = &mut self.gates[index] else {
             return;
         };
-        let due = now_us >= process.reported_us + HEARTBEAT_US;
-        if !due || !worker.up || worker.mute_until_us > now_us {
+        let due = now_us >= process.reported_us + HEARTBEAT_INTERVAL_US;
+        if !due || !worker.up || worker.unresponsive_until_us > now_us {
             return;
         }
         process.reported_us = now_us;
         let id = worker.id.clone();
-        let report = self.report_of(index, id);
+        let report = self.build_report(index, id);
         if let Some(process) = &mut self.gates[index] {
             process.gate.worker_report(now, report);
         }
     }
 
-    pub(super) fn gate_answers(&mut self, index: usize, now: Moment) {
+    pub(super) fn deliver_worker_answers(&mut self, index: usize, now: Moment) {
         let now_us = self.now_us;
         let Some(process) = &mut self.gates[index] else {
             return;
@@ -60,26 +60,26 @@
         let mut waiting = VecDeque::new();
         while let Some((at_us, answer)) = process.answers.pop_front() {
             let reset = !worker.up && worker.refuses;
-            let woken = matches!(&answer, Answered::Hold(_, call, true)
-                if reset || worker.has_ended_since(call.acked_end));
+            let woken = matches!(&answer, WorkerAnswer::Poll(_, call, true)
+                if reset || worker.has_end_after(call.acked_end));
             if at_us > now_us && !woken {
                 waiting.push_back((at_us, answer));
                 continue;
             }
             match answer {
-                Answered::Start(meant, run, answer) => {
-                    process.gate.start_answered(now, &meant, run, answer);
+                WorkerAnswer::Start(worker_id, run, answer) => {
+                    process.gate.start_answered(now, &worker_id, run, answer);
                 }
-                Answered::Stop(meant, run, answer) => {
-                    process.gate.stop_answered(now, &meant, run, answer);
+                WorkerAnswer::Stop(worker_id, run, answer) => {
+                    process.gate.stop_answered(now, &worker_id, run, answer);
                 }
-                Answered::Hold(sent, call, answers) => {
-                    let same = worker.is_named_in(&call);
+                WorkerAnswer::Poll(sent, call, answers) => {
+                    let same = worker.is_addressed_by(&call);
                     let answer = match (answers && worker.up, same) {
                         (false, _) if !worker.up && worker.refuses => Err(WorkerCallError::Refused),
                         (false, _) => Err(WorkerCallError::Unanswered),
                         (true, false) => Err(WorkerCallError::OtherIncarnation),
-                        (true, true) => Ok(worker.hold(
+                        (true, true) => Ok(worker.poll(
                             now_us,
                             &PollCall {
                                 lease_until_ms: None,
@@ -97,21 +97,21 @@
         process.answers = waiting;
     }
 
-    pub(super) fn gate_reads(&mut self, index: usize, now: Moment) {
+    pub(super) fn read_gate_connections(&mut self, index: usize, now: Moment) {
         let mut lost = Vec::new();
-        let (now_us, most_age_us) = (self.now_us, self.most_age_us());
+        let (now_us, max_frame_age_us) = (self.now_us, self.max_frame_age_us());
         for at in 0..self.connections.len() {
             if self.connections[at].gate != index {
                 continue;
             }
             let entry = self.connections[at].entry;
-            let flows = self.reachable(entry, index) || self.entries[entry].is_none();
+            let readable = self.reachable(entry, index) || self.entries[entry].is_none();
             let Some(process) = &mut self.gates[index] else {
                 return;
             };
             let connection = &mut self.connections[at];
             let link = &mut connection.to_gate;
-            while flows && let Some(read) = link.read(now_us, now, most_age_us) {
+            while readable && let Some(read) = link.read(now_us, now, max_frame_age_us) {
                 let Read::Messages(messages) = read else {
                     connection.to_entry.closed = true;
                     break;
@@ -134,7 +134,7 @@
         }
     }
 
-    pub(super) fn carry_out_gate(&mut self, index: usize, actions: Vec<GateAction>) {
+    pub(super) fn apply_gate_actions(&mut self, index: usize, actions: Vec<GateAction>) {
         let sent_us = self.gate_moment(index).mono_us;
         let mut outbox: HashMap<SessionId, Vec<ToEntry>> = HashMap::new();
         for action in actions {
@@ -147,10 +147,10 @@
                     self.close_connections(of, true);
                 }
                 GateAction::SetWorker(_) => {}
-                GateAction::StoreLosses(losses) => self.recorded[index] = losses,
-                GateAction::Start(call) => self.order_start(index, call),
-                GateAction::Stop(call) => self.order_stop(index, &call),
-                GateAction::Poll(call) => self.order_hold(index, call),
+                GateAction::StoreLosses(losses) => self.stored_losses[index] = losses,
+                GateAction::Start(call) => self.send_start(index, call),
+                GateAction::Stop(call) => self.send_stop(index, &call),
+                GateAction::Poll(call) => self.send_poll(index, call),
             }
         }
         let at_us = self.now_us + self.rng.random_range(500..4_000);
--- a/tests/ephemeral_fleet/mod.rs
+++ b/tests/ephemeral_fleet/mod.rs
@@ -1,10 +1,10 @@
-//! A fake fleet in virtual time: dispatchers, gates, workers and callers.
+//! A simulated fleet in virtual time: dispatchers, gates, workers and callers.
 //!
-//! Connections keep order and hold frames back while they are cut, as TCP does;
-//! what was in the peer's buffer may still be read after a connection closed.
-//! Processes freeze, die and come back; workers lose orders and carry them out
-//! late. The fleet checks the promises at the workers and at the callers. Its runs never
-//! fail by themselves, so that a job may be failed only for workers that crashed.
+//! Connections keep order and delay frames while they are cut, as TCP does; buffered
+//! frames may still be read after a connection closed. Processes freeze, die and restart;
+//! workers lose orders or carry them out late. The fleet records violated guarantees at
+//! the workers and at the callers. Runs never fail by themselves, so a job may fail only
+//! because workers crashed.
 
 #![allow(dead_code)]
 
@@ -40,41 +40,44 @@
 use worker::FakeWorker;
 
 pub const STEP_US: u64 = 5_000;
-/// Number of the first gate among processes.
-const GATE_PROCESSES: usize = 10;
-const RESEND: Duration = Duration::from_millis(1_300);
-const CALLER_WAITS_US: u64 = 8_000_000;
-const HEARTBEAT_US: u64 = 500_000;
-/// Birth of the first workers, in Unix milliseconds; clocks are put back by far less.
-const FIRST_BIRTH_MS: u64 = 1_700_000_000_000;
-const ORDER_LIMIT_US: u64 = 80_000;
-const HOLD_LIMIT_US: u64 = 300_000;
-pub const CPU: u64 = 1_000;
-
-/// Guards that a test takes out to see that they matter.
+/// Process number of the first gate; entries have the numbers below.
+const FIRST_GATE_PROCESS: usize = 10;
+const RESEND_DELAY: Duration = Duration::from_millis(1_300);
+const CALLER_TIMEOUT_US: u64 = 8_000_000;
+const HEARTBEAT_INTERVAL_US: u64 = 500_000;
+/// Start of the first workers in Unix time; clocks are set back by far less.
+const FIRST_START_MS: u64 = 1_700_000_000_000;
+const ORDER_TIMEOUT_US: u64 = 80_000;
+const POLL_TIMEOUT_US: u64 = 300_000;
+pub const TASK_CPU_MILLI: u64 = 1_000;
+
+/// Guards that a test disables to show that they are needed.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Without {
+pub struct DisabledGuards {
     pub frame_age: bool,
-    /// Time in which a process is frozen counts on its clock.
+    /// When set, the clock of a process excludes the time in which it was frozen.
     pub suspended_time: bool,
 }
 
-/// Limits of the sites.
+/// The limits that all processes of the fleet use.
 pub fn limits() -> Limits {
-    Limits::new(RESEND, Duration::from_secs(1), Duration::from_millis(50))
+    Limits::new(
+        RESEND_DELAY,
+        Duration::from_secs(1),
+        Duration::from_millis(50),
+    )
 }
 
-/// Priorities that jobs come with; gates order runs by urgency.
-const PRIORITIES: u64 = 3;
+const PRIORITY_COUNT: u64 = 3;
 
-/// The route of a job.
+/// The route of a job; its priority follows from the number of the job.
 pub fn route(job: u64, attempts: u32) -> Arc<Route> {
     Arc::new(Route {
         name: "r".into(),
         host: "h".into(),
         path_prefix: "/".into(),
         service: "s".into(),
-        priority: (job % PRIORITIES) as u8,
+        priority: (job % PRIORITY_COUNT) as u8,
         attempts,
         timeout_us: 1_500_000,
         stretch: 1.6,
@@ -88,7 +91,7 @@
         payload: "p".into(),
         count,
         needs: Resources {
-            cpu_milli: CPU,
+            cpu_milli: TASK_CPU_MILLI,
             memory_mb: 64,
             accelerators: 0,
         },
@@ -101,15 +104,15 @@
     dispatcher: Dispatcher,
     frozen_until_us: u64,
     cut_until_us: u64,
-    inbox: VecDeque<EntryIn>,
+    inbox: VecDeque<EntryEvent>,
     sessions: u64,
-    /// Callers that this life has not answered.
-    asked: HashMap<WaiterId, JobId>,
+    /// Callers that this incarnation has not answered.
+    waiters: HashMap<WaiterId, JobId>,
 }
 
-enum EntryIn {
+enum EntryEvent {
     Submit(WaiterId, u64, u32, u64),
-    Gone(WaiterId, JobId),
+    CallerLeft(WaiterId, JobId),
 }
 
 struct GateProcess {
@@ -117,33 +120,33 @@
     frozen_until_us: u64,
     cut_until_us: u64,
     sessions: u64,
-    answers: VecDeque<(u64, Answered)>,
+    answers: VecDeque<(u64, WorkerAnswer)>,
     reported_us: u64,
 }
 
-enum Answered {
-    /// With the life of the worker that was meant; so the next one.
+enum WorkerAnswer {
+    /// The worker id is the one that the order was addressed to; as in `Stop`.
     Start(WorkerId, RunId, Result<StartAnswer, WorkerCallError>),
     Stop(WorkerId, RunId, Result<(), WorkerCallError>),
-    Hold(Moment, PollCall, bool),
+    Poll(Moment, PollCall, bool),
 }
 
-/// An order that is carried out later than anyone expects.
-enum Late {
+/// An order that the worker carries out after its timeout.
+enum LateOrder {
     Start(usize, StartCall),
     Stop(usize, StopCall),
 }
 
-impl Late {
-    /// Number of the worker that it goes to.
+impl LateOrder {
+    /// Index of the worker that the order is for.
     fn worker(&self) -> usize {
         match self {
-            Late::Start(index, _) | Late::Stop(index, _) => *index,
+            LateOrder::Start(index, _) | LateOrder::Stop(index, _) => *index,
         }
     }
 }
 
-/// What a caller knows of its job.
+/// The state of a caller and its job.
 #[derive(Clone, Debug)]
 struct Caller {
     count: u32,
@@ -151,102 +154,107 @@
     waiter: Option<(WaiterId, usize, u64)>,
     resend_at_us: Option<u64>,
     started: bool,
-    refused_all: bool,
-    /// Whether its last answer was that workers may have been lost under it.
-    told_of_losses: bool,
-    /// When it sent its job first.
-    since_us: u64,
+    only_refused: bool,
+    /// Whether the last answer reported that workers may have been lost under the job.
+    losses_reported: bool,
+    first_sent_us: u64,
     pub answer: Option<u16>,
 }
 
 pub struct Fleet {
     pub now_us: u64,
     limits: Limits,
-    without: Without,
+    disabled: DisabledGuards,
     entries: Vec<Option<EntryProcess>>,
     gates: Vec<Option<GateProcess>>,
     pub workers: Vec<FakeWorker>,
-    /// Time that clocks have missed, by the number of the process.
-    missed_us: HashMap<usize, i64>,
-    /// The workers' lives before the last crash.
-    past_workers: Vec<Option<WorkerId>>,
-    /// Whether workers tell when they started.
-    births: bool,
-    /// Gates whose failure domains are evacuated, by when they heard or will hear of it.
+    /// Suspended time that clocks exclude, by process number.
+    suspended_us: HashMap<usize, i64>,
+    /// Worker ids before the last crash.
+    previous_workers: Vec<Option<WorkerId>>,
+    /// Whether workers report their start times.
+    reports_start_times: bool,
+    /// When each gate in an evacuated failure domain learns of the evacuation.
     evacuated: HashMap<usize, u64>,
-    /// Losses in the records of gates, which outlive them.
-    recorded: Vec<Vec<WorkerLoss>>,
+    /// Losses in the stored records of gates; they survive restarts.
+    stored_losses: Vec<Vec<WorkerLoss>>,
     connections: Vec<Connection>,
-    /// Entries and gates without a session between them, unless there is work.
-    apart: HashSet<(usize, usize)>,
+    /// Pairs of entry and gate that have a session only while there is work.
+    separated: HashSet<(usize, usize)>,
     callers: BTreeMap<JobId, Caller>,
-    late: Vec<(u64, Late)>,
+    late: Vec<(u64, LateOrder)>,
     crashes: Crashes,
     rng: StdRng,
-    lives: u64,
-    waiters: u64,
-    jobs: u64,
-    /// Orders without an answer, in percent.
-    pub unanswered: u32,
+    last_incarnation: u64,
+    last_waiter: u64,
+    last_job: u64,
+    /// Percentage of orders without an answer.
+    pub unanswered_percent: u32,
     pub violations: Vec<String>,
     pub completed: usize,
-    /// Answers that do not say what became of the job.
+    /// Answers with an unknown outcome.
     pub unknown: usize,
     pub starts: usize,
 }
 
 impl Fleet {
     /// Three entries and three gates.
-    pub fn new(seed: u64, limits: Limits, without: Without) -> Fleet {
-        Fleet::with_gates(3, seed, limits, without)
+    pub fn new(seed: u64, limits: Limits, disabled: DisabledGuards) -> Fleet {
+        Fleet::with_gates(3, seed, limits, disabled)
     }
 
-    /// The same with workers that tell when they started.
-    pub fn with_births(seed: u64, limits: Limits) -> Fleet {
-        Fleet::build(3, true, seed, limits, Without::default())
+    /// Three entries and three gates whose workers report their start times.
+    pub fn with_start_times(seed: u64, limits: Limits) -> Fleet {
+        Fleet::build(3, true, seed, limits, DisabledGuards::default())
     }
 
     /// Three entries and `gates` gates, each with a worker.
-    pub fn with_gates(gates: usize, seed: u64, limits: Limits, without: Without) -> Fleet {
-        Fleet::build(gates, false, seed, limits, without)
+    pub fn with_gates(gates: usize, seed: u64, limits: Limits, disabled: DisabledGuards) -> Fleet {
+        Fleet::build(gates, false, seed, limits, disabled)
     }
 
-    fn build(gates: usize, births: bool, seed: u64, limits: Limits, without: Without) -> Fleet {
+    fn build(
+        gates: usize,
+        reports_start_times: bool,
+        seed: u64,
+        limits: Limits,
+        disabled: DisabledGuards,
+    ) -> Fleet {
         let capacity = |slots: u64| Resources {
-            cpu_milli: CPU * slots,
+            cpu_milli: TASK_CPU_MILLI * slots,
             memory_mb: 64_000,
             accelerators: 0,
         };
         let worker = |index: usize| {
-            let rate = [1.0, 0.98, 0.99][index % 3];
+            let clock_rate = [1.0, 0.98, 0.99][index % 3];
             let id = WorkerId {
                 name: format!("w{index}-0").into(),
-                born_ms: births.then_some(FIRST_BIRTH_MS),
+                born_ms: reports_start_times.then_some(FIRST_START_MS),
             };
-            FakeWorker::new(id, capacity(4 + index as u64), rate)
+            FakeWorker::new(id, capacity(4 + index as u64), clock_rate)
         };
         let mut fleet = Fleet {
             now_us: 1_000_000,
             limits,
-            without,
+            disabled,
             entries: (0..3).map(|_| None).collect(),
             gates: (0..gates).map(|_| None).collect(),
             workers: (0..gates).map(worker).collect(),
-            missed_us: HashMap::new(),
-            past_workers: vec![None; gates],
-            births,
+            suspended_us: HashMap::new(),
+            previous_workers: vec![None; gates],
+            reports_start_times,
             evacuated: HashMap::new(),
-            recorded: vec![Vec::new(); gates],
+            stored_losses: vec![Vec::new(); gates],
             connections: Vec::new(),
-            apart: HashSet::new(),
+            separated: HashSet::new(),
             callers: BTreeMap::new(),
             late: Vec::new(),
             crashes: Crashes::default(),
             rng: StdRng::seed_from_u64(seed),
-            lives: 0,
-            waiters: 0,
-            jobs: 0,
-            unanswered: 0,
+            last_incarnation: 0,
+            last_waiter: 0,
+            last_job: 0,
+            unanswered_percent: 0,
             violations: Vec::new(),
             completed: 0,
             unknown: 0,
@@ -258,46 +266,46 @@
         fleet
     }
 
-    fn next_life(&mut self, name: &str) -> ProcessId {
-        self.lives += 1;
+    fn next_process_id(&mut self, name: &str) -> ProcessId {
+        self.last_incarnation += 1;
         ProcessId {
             name: name.into(),
-            incarnation: self.lives,
+            incarnation: self.last_incarnation,
         }
     }
 
-    /// Clock of a process; each has its own origin.
+    /// The clock of a process; each has its own origin.
     fn moment(&self, process: usize) -> Moment {
         Moment {
             mono_us: (self.now_us + process as u64 * 77_000_000)
-                .saturating_sub(self.missed_us(process)),
+                .saturating_sub(self.suspended_us(process)),
             wall_ms: 0,
         }
     }
 
-    fn missed_us(&self, process: usize) -> u64 {
-        let missed_us = self.missed_us.get(&process).copied().unwrap_or(0);
-        missed_us.unsigned_abs()
+    fn suspended_us(&self, process: usize) -> u64 {
+        let suspended_us = self.suspended_us.get(&process).copied().unwrap_or(0);
+        suspended_us.unsigned_abs()
     }
 
-    /// The clock of a process stands still until `until_us`, instead of `before_us`.
-    fn miss(&mut self, process: usize, before_us: u64, until_us: u64) {
-        if self.without.suspended_time {
+    /// Stops the clock of a process until `until_us` instead of `before_us`.
+    fn suspend_clock(&mut self, process: usize, before_us: u64, until_us: u64) {
+        if self.disabled.suspended_time {
             let from_us = before_us.max(self.now_us);
-            let missed_us = self.missed_us.entry(process).or_default();
-            *missed_us += until_us as i64 - from_us as i64;
+            let suspended_us = self.suspended_us.entry(process).or_default();
+            *suspended_us += until_us as i64 - from_us as i64;
         }
     }
 
     fn gate_moment(&self, gate: usize) -> Moment {
-        self.moment(GATE_PROCESSES + gate)
+        self.moment(FIRST_GATE_PROCESS + gate)
     }
 
     pub fn start_entry(&mut self, index: usize) {
         if self.entries[index].is_some() {
             return;
         }
-        let me = self.next_life(&format!("entry-{index}"));
+        let me = self.next_process_id(&format!("entry-{index}"));
         let dispatcher = Dispatcher::new(me, self.limits, logging::discard());
         self.entries[index] = Some(EntryProcess {
             dispatcher,
@@ -305,7 +313,7 @@
             cut_until_us: 0,
             inbox: VecDeque::new(),
             sessions: 0,
-            asked: HashMap::new(),
+            waiters: HashMap::new(),
         });
     }
 
@@ -313,9 +321,9 @@
         if self.gates[index].is_some() {
             return;
         }
-        let me = self.next_life(&format!("gate-{index}"));
+        let me = self.next_process_id(&format!("gate-{index}"));
         let mut gate = Gate::new(me, self.limits, logging::discard());
-        gate.restore_losses(self.recorded[index].clone());
+        gate.restore_losses(self.stored_losses[index].clone());
         gate.await_evacuation_state(self.gate_moment(index));
         self.gates[index] = Some(GateProcess {
             gate,
@@ -327,21 +335,20 @@
         });
     }
 
-    /// The failure domain of a gate is evacuated; the gate hears of it after `after_us`.
+    /// Evacuates the failure domain of a gate, which learns of it after `after_us`.
     pub fn evacuate(&mut self, gate: usize, after_us: u64) {
-        let heard_us = self.now_us + after_us;
-        self.evacuated.entry(gate).or_insert(heard_us);
+        let known_at_us = self.now_us + after_us;
+        self.evacuated.entry(gate).or_insert(known_at_us);
     }
 
-    /// It is taken back.
-    pub fn take_back(&mut self, gate: usize) {
+    pub fn cancel_evacuation(&mut self, gate: usize) {
         self.evacuated.remove(&gate);
     }
 
-    /// What the gate reads in the store.
-    fn hear_of_evacuation(&mut self, index: usize, now: Moment) {
-        let heard_us = self.evacuated.get(&index);
-        let evacuated = heard_us.is_some_and(|heard_us| *heard_us <= self.now_us);
+    /// Passes the evacuation state in the store to the gate.
+    fn apply_evacuation_state(&mut self, index: usize, now: Moment) {
+        let known_at_us = self.evacuated.get(&index);
+        let evacuated = known_at_us.is_some_and(|known_at_us| *known_at_us <= self.now_us);
         if let Some(process) = &mut self.gates[index] {
             process.gate.set_evacuated(now, evacuated);
         }
@@ -356,8 +363,8 @@
             return;
         };
         let cut = entry.cut_until_us > self.now_us;
-        for (waiter, job) in entry.asked {
-            self.heard_nothing(job, waiter);
+        for (waiter, job) in entry.waiters {
+            self.schedule_resend(job, waiter);
         }
         self.connections
             .retain(|connection| connection.entry != index || !connection.silent);
@@ -375,7 +382,7 @@
         if let Some(entry) = &mut self.entries[index] {
             let before_us = entry.frozen_until_us;
             entry.frozen_until_us = until_us;
-            self.miss(index, before_us, until_us);
+            self.suspend_clock(index, before_us, until_us);
         }
     }
 
@@ -384,7 +391,7 @@
         if let Some(gate) = &mut self.gates[index] {
             let before_us = gate.frozen_until_us;
             gate.frozen_until_us = until_us;
-            self.miss(GATE_PROCESSES + index, before_us, until_us);
+            self.suspend_clock(FIRST_GATE_PROCESS + index, before_us, until_us);
         }
     }
 
@@ -402,19 +409,19 @@
         }
     }
 
-    /// A report of a worker's life arrives that was sent before its last crash.
+    /// Delivers a report that was sent before the worker's last crash.
     pub fn late_report(&mut self, index: usize) {
         let now = self.gate_moment(index);
-        let Some(id) = self.past_workers[index].clone() else {
+        let Some(id) = self.previous_workers[index].clone() else {
             return;
         };
-        let report = self.report_of(index, id);
+        let report = self.build_report(index, id);
         if let Some(process) = &mut self.gates[index] {
             process.gate.worker_report(now, report);
         }
     }
 
-    fn report_of(&self, index: usize, id: WorkerId) -> WorkerReport {
+    fn build_report(&self, index: usize, id: WorkerId) -> WorkerReport {
         let worker = &self.workers[index];
         WorkerReport {
             id,
@@ -430,37 +437,37 @@
     }
 
     pub fn crash_worker(&mut self, index: usize) {
-        self.note_crash(index);
-        self.past_workers[index] = Some(self.workers[index].id.clone());
-        self.lives += 1;
+        self.record_crash(index);
+        self.previous_workers[index] = Some(self.workers[index].id.clone());
+        self.last_incarnation += 1;
         let id = WorkerId {
-            name: format!("w{index}-{}", self.lives).into(),
-            born_ms: self.births.then_some(self.wall_ms()),
+            name: format!("w{index}-{}", self.last_incarnation).into(),
+            born_ms: self.reports_start_times.then_some(self.wall_ms()),
         };
         self.workers[index].crash(id);
     }
 
-    /// The workers' wall clock, in milliseconds.
+    /// Wall clock of the workers.
     fn wall_ms(&self) -> u64 {
-        FIRST_BIRTH_MS + self.now_us / 1_000
+        FIRST_START_MS + self.now_us / 1_000
     }
 
-    /// A worker crashes and starts again under its name. `stepped_ms` is how far its wall
-    /// clock was put back meanwhile.
+    /// Crashes a worker and restarts it under the same name, with its wall clock set back
+    /// by `stepped_ms`.
     pub fn restart_worker(&mut self, index: usize, stepped_ms: u64) {
-        self.note_crash(index);
-        self.past_workers[index] = Some(self.workers[index].id.clone());
+        self.record_crash(index);
+        self.previous_workers[index] = Some(self.workers[index].id.clone());
         let born_ms = self.wall_ms() - stepped_ms;
         self.workers[index].restart(self.now_us, born_ms);
     }
 
-    /// A departure arrives that a life of the worker sent before its last crash.
+    /// Delivers a departure that was sent before the worker's last crash.
     pub fn late_departure(&mut self, index: usize) {
         let now = self.gate_moment(index);
-        let Some(id) = self.past_workers[index].clone() else {
+        let Some(id) = self.previous_workers[index].clone() else {
             return;
         };
-        // It names the worker only.
+        // A departure carries no start time.
         let named = WorkerId {
             born_ms: None,
             ..id
@@ -481,28 +488,28 @@
         let until_us = self.now_us + span_us;
         while self.now_us < until_us {
             self.now_us += STEP_US;
-            self.callers_turn();
-            self.late_orders();
-            self.crashes_turn();
+            self.step_callers();
+            self.carry_out_late_orders();
+            self.step_crashes();
             for index in 0..self.workers.len() {
                 let now_us = self.now_us;
                 self.workers[index].advance(now_us);
             }
             self.dial();
             for index in 0..self.entries.len() {
-                self.entry_turn(index);
+                self.step_entry(index);
             }
             for index in 0..self.gates.len() {
-                self.gate_turn(index);
+                self.step_gate(index);
             }
             self.drop_closed();
-            self.check();
+            self.check_capacity();
         }
     }
 
-    fn check(&mut self) {
+    fn check_capacity(&mut self) {
         for worker in &self.workers {
-            let used = worker.running().count() as u64 * CPU;
+            let used = worker.running().count() as u64 * TASK_CPU_MILLI;
             if used > worker.capacity.cpu_milli {
                 let text = format!("{} is over its capacity at {} us", worker.id, self.now_us);
                 self.violations.push(text);
@@ -510,17 +517,17 @@
         }
     }
 
-    /// Jobs that have no final answer.
+    /// Number of jobs without a final answer.
     pub fn unanswered_jobs(&self) -> usize {
         let open = self.callers.values().filter(|one| one.answer.is_none());
         open.count()
     }
 
-    /// Those of them whose callers were not told that workers may have been lost under
-    /// them: of the others nobody may ever know what became of them, nor start them again.
+    /// Number of jobs without a final answer and without reported losses. With losses,
+    /// the outcome may stay unknown for good.
     pub fn unanswered_without_losses(&self) -> usize {
         let open = self.callers.values().filter(|one| one.answer.is_none());
-        open.filter(|one| !one.told_of_losses).count()
+        open.filter(|one| !one.losses_reported).count()
     }
 
     /// Jobs whose callers were answered with this code.
@@ -530,12 +537,12 @@
         with.map(|(job, _)| *job)
     }
 
-    /// What the caller of `job` was answered in the end.
+    /// Result code of the final answer to `job`.
     pub fn answer_to(&self, job: JobId) -> Option<u16> {
         self.callers.get(&job).and_then(|caller| caller.answer)
     }
 
-    /// Tasks that run now.
+    /// Runs in progress on all workers.
     pub fn running(&self) -> HashSet<RunId> {
         self.workers.iter().flat_map(FakeWorker::running).collect()
     }
--- a/tests/ephemeral_fleet/worker.rs
+++ b/tests/ephemeral_fleet/worker.rs
@@ -1,4 +1,4 @@
-//! A worker in virtual time: runs what it is told, under a lease on its own clock.
+//! A simulated worker: it carries out orders under a lease on its own clock.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -8,7 +8,7 @@
 };
 use winghold::ephemeral::worker_id::WorkerId;
 
-/// How long a worker takes to stop a run.
+/// Time to stop a run.
 const STOP_US: u64 = 50_000;
 
 #[derive(Clone, Copy, Debug)]
@@ -20,54 +20,54 @@
 
 pub struct FakeWorker {
     pub id: WorkerId,
-    /// When its clock started.
-    clock_from_us: u64,
+    /// When its clock was at its origin.
+    clock_started_us: u64,
     pub up: bool,
-    /// While it is down: nothing listens, which callers are told.
+    /// Whether connections are refused while it is down; else they get no answer.
     pub refuses: bool,
-    /// Lets orders go unanswered and does nothing.
-    pub mute_until_us: u64,
-    /// Runs stand still.
+    /// Until then orders are not carried out and get no answer.
+    pub unresponsive_until_us: u64,
+    /// Whether its runs make no progress.
     pub hung: bool,
     pub capacity: Resources,
-    rate: f64,
+    clock_rate: f64,
     running: BTreeMap<RunId, Running>,
     barred: HashMap<(JobId, u32), u32>,
     ended: Vec<EndedRow>,
-    numbers: u64,
+    last_end_number: u64,
     lease_until_ms: u64,
-    /// Highest fencing token seen.
+    /// Highest fencing token received.
     fence: u64,
 }
 
 impl FakeWorker {
-    pub fn new(id: WorkerId, capacity: Resources, rate: f64) -> FakeWorker {
+    pub fn new(id: WorkerId, capacity: Resources, clock_rate: f64) -> FakeWorker {
         FakeWorker {
             id,
-            clock_from_us: 0,
+            clock_started_us: 0,
             up: true,
             refuses: false,
-            mute_until_us: 0,
+            unresponsive_until_us: 0,
             hung: false,
             capacity,
-            rate,
+            clock_rate,
             running: BTreeMap::new(),
             barred: HashMap::new(),
             ended: Vec::new(),
-            numbers: 0,
+            last_end_number: 0,
             lease_until_ms: 0,
             fence: 0,
         }
     }
 
     pub fn clock_ms(&self, now_us: u64) -> u64 {
-        ((now_us - self.clock_from_us) as f64 * self.rate / 1_000.0) as u64 + 1_000
+        ((now_us - self.clock_started_us) as f64 * self.clock_rate / 1_000.0) as u64 + 1_000
     }
 
-    /// Whether a question is for it, as far as its name tells.
-    pub fn is_named_in(&self, call: &PollCall) -> bool {
-        let meant = call.worker.as_ref();
-        meant.is_some_and(|meant| meant.name == self.id.name)
+    /// Whether a poll carries the name of this worker.
+    pub fn is_addressed_by(&self, call: &PollCall) -> bool {
+        let worker_id = call.worker.as_ref();
+        worker_id.is_some_and(|worker_id| worker_id.name == self.id.name)
     }
 
     pub fn running(&self) -> impl Iterator<Item = RunId> {
@@ -81,39 +81,39 @@
     }
 
     pub fn crash(&mut self, next_id: WorkerId) {
-        let (capacity, rate) = (self.capacity, self.rate);
-        *self = FakeWorker::new(next_id, capacity, rate);
+        let (capacity, clock_rate) = (self.capacity, self.clock_rate);
+        *self = FakeWorker::new(next_id, capacity, clock_rate);
     }
 
-    /// Crashes and starts again under its name; its clock starts anew.
+    /// Crashes and restarts under the same name with a new clock.
     pub fn restart(&mut self, now_us: u64, born_ms: u64) {
         let next = WorkerId {
             name: self.id.name.clone(),
             born_ms: Some(born_ms),
         };
         self.crash(next);
-        self.clock_from_us = now_us;
+        self.clock_started_us = now_us;
     }
 
-    /// Lets time pass: ends, stops and lapsed leases.
+    /// Ends runs that are done, stopped or without a lease.
     pub fn advance(&mut self, now_us: u64) {
         let lapsed = self.clock_ms(now_us) > self.lease_until_ms;
-        let mut over = Vec::new();
+        let mut finished = Vec::new();
         for (run, state) in &self.running {
             let done = now_us >= state.started_us + state.work_us && !self.hung;
             let stopped = state.stop_at_us.is_some_and(|at| now_us >= at);
             match (done, stopped, lapsed) {
-                (true, ..) => over.push((*run, WorkerEnd::Done)),
-                (_, true, _) => over.push((*run, WorkerEnd::Stopped)),
-                (_, _, true) => over.push((*run, WorkerEnd::LeaseExpired)),
+                (true, ..) => finished.push((*run, WorkerEnd::Done)),
+                (_, true, _) => finished.push((*run, WorkerEnd::Stopped)),
+                (_, _, true) => finished.push((*run, WorkerEnd::LeaseExpired)),
                 _ => {}
             }
         }
-        for (run, end) in over {
+        for (run, end) in finished {
             self.running.remove(&run);
             self.bar(run);
-            self.numbers += 1;
-            let number = self.numbers;
+            self.last_end_number += 1;
+            let number = self.last_end_number;
             self.ended.push(EndedRow { number, run, end });
         }
     }
@@ -123,12 +123,12 @@
         *highest = run.run.max(*highest);
     }
 
-    /// Carries a start out; `true` if a new run began.
+    /// Carries out a start; `true` if a new run began.
     pub fn start(&mut self, now_us: u64, call: &StartCall, work_us: u64) -> (StartReply, bool) {
         if call.worker.name != self.id.name {
             return (StartReply::OtherIncarnation, false);
         }
-        if !self.admits(call.fence) {
+        if !self.accepts_fence(call.fence) {
             return (StartReply::Rejected, false);
         }
         if self.running.contains_key(&call.run) {
@@ -151,17 +151,17 @@
         (StartReply::Running, true)
     }
 
-    /// Notes a fencing token; `false` if a higher one was seen.
-    fn admits(&mut self, fence: u64) -> bool {
-        let admits = fence >= self.fence;
+    /// Records a fencing token; `false` if a higher one was received before.
+    fn accepts_fence(&mut self, fence: u64) -> bool {
+        let accepts_fence = fence >= self.fence;
         self.fence = self.fence.max(fence);
-        admits
+        accepts_fence
     }
 
-    /// Bars or stops a run; `false`, and nothing done, under a fencing token that
-    /// is too low.
+    /// Stops a run, or bars it if it has not begun; `false` if the fencing token is too
+    /// low.
     pub fn stop(&mut self, now_us: u64, run: RunId, fence: u64) -> bool {
-        if !self.admits(fence) {
+        if !self.accepts_fence(fence) {
             return false;
         }
         match self.running.get_mut(&run) {
@@ -173,8 +173,8 @@
         true
     }
 
-    pub fn hold(&mut self, now_us: u64, call: &PollCall) -> PollReply {
-        if !self.admits(call.fence.unwrap_or(0)) {
+    pub fn poll(&mut self, now_us: u64, call: &PollCall) -> PollReply {
+        if !self.accepts_fence(call.fence.unwrap_or(0)) {
             return PollReply {
                 born_ms: self.id.born_ms,
                 clock_ms: self.clock_ms(now_us),
@@ -206,7 +206,7 @@
         }
     }
 
-    pub fn has_ended_since(&self, acked_end: u64) -> bool {
+    pub fn has_end_after(&self, acked_end: u64) -> bool {
         self.ended.iter().any(|row| row.number > acked_end)
     }
 }
--- a/tests/ephemeral_gate.rs
+++ b/tests/ephemeral_gate.rs
@@ -14,8 +14,8 @@
     bench.order(run(1), 600, 100);
     bench.order(run(2), 600, 100);
     assert_eq!(bench.ordered(), [run(1)]);
-    bench.started(run(1), Ok(StartReply::Running));
-    bench.lists(Vec::new(), vec![(1, run(1), WorkerEnd::Done)]);
+    bench.answer_start(run(1), Ok(StartReply::Running));
+    bench.list_runs(Vec::new(), vec![(1, run(1), WorkerEnd::Done)]);
     assert_eq!(bench.ends(), [(run(1), RunEnd::Done)]);
     assert_eq!(bench.ordered(), [run(1), run(2)]);
 }
@@ -36,7 +36,7 @@
     let mut bench = Bench::ready();
     bench.order(run(1), 600, 100);
     bench.order(run(2), 600, 50);
-    bench.pass(60);
+    bench.advance(60);
     let late = (run(2), RunEnd::NotRun(NotRunReason::NoRoom));
     assert!(bench.ends().contains(&late));
 }
@@ -48,16 +48,16 @@
     bench.order(run(2), 600, 400);
     for _ in 0..3 {
         assert!(bench.stops().is_empty());
-        bench.started(run(1), Err(WorkerCallError::Unanswered));
+        bench.answer_start(run(1), Err(WorkerCallError::Unanswered));
     }
     assert_eq!(bench.stops(), [run(1)]);
-    bench.lists(Vec::new(), Vec::new());
+    bench.list_runs(Vec::new(), Vec::new());
     assert_eq!(bench.ordered(), [run(1); 3], "not barred yet");
-    bench.pass(5);
-    bench.stopped(run(1), Ok(()));
+    bench.advance(5);
+    bench.answer_stop(run(1), Ok(()));
     assert_eq!(bench.ordered(), [run(1); 3], "not listed since");
-    bench.pass(5);
-    bench.lists(Vec::new(), Vec::new());
+    bench.advance(5);
+    bench.list_runs(Vec::new(), Vec::new());
     let end = RunEnd::NotRun(NotRunReason::Unanswered);
     assert_eq!(bench.ends(), [(run(1), end)]);
     assert_eq!(bench.ordered(), [run(1), run(1), run(1), run(2)]);
@@ -67,11 +67,11 @@
 fn a_lost_order_is_sent_again_to_the_same_worker() {
     let mut bench = Bench::ready();
     bench.order(run(1), 600, 100);
-    bench.started(run(1), Err(WorkerCallError::Unanswered));
+    bench.answer_start(run(1), Err(WorkerCallError::Unanswered));
     assert_eq!(bench.ordered(), [run(1), run(1)]);
-    bench.started(run(1), Ok(StartReply::Running));
+    bench.answer_start(run(1), Ok(StartReply::Running));
     assert!(bench.stops().is_empty());
-    bench.lists(Vec::new(), vec![(1, run(1), WorkerEnd::Done)]);
+    bench.list_runs(Vec::new(), vec![(1, run(1), WorkerEnd::Done)]);
     assert_eq!(bench.ends(), [(run(1), RunEnd::Done)]);
 }
 
@@ -82,7 +82,7 @@
     let mut bench = Bench::ready();
     bench.order(run(1), 600, 100);
     bench.now.mono_us += 2_000 * MS;
-    bench.started(run(1), Err(WorkerCallError::Unanswered));
+    bench.answer_start(run(1), Err(WorkerCallError::Unanswered));
     assert_eq!(bench.ordered(), [run(1)]);
 }
 
@@ -92,10 +92,10 @@
 fn a_second_copy_that_is_turned_down_does_not_say_that_the_first_never_ran() {
     let mut bench = Bench::ready();
     bench.order(run(1), 600, 100);
-    bench.started(run(1), Err(WorkerCallError::Unanswered));
-    bench.started(run(1), Ok(StartReply::Stale));
+    bench.answer_start(run(1), Err(WorkerCallError::Unanswered));
+    bench.answer_start(run(1), Ok(StartReply::Stale));
     assert!(bench.ends().is_empty());
-    bench.lists(Vec::new(), vec![(1, run(1), WorkerEnd::Done)]);
+    bench.list_runs(Vec::new(), vec![(1, run(1), WorkerEnd::Done)]);
     assert_eq!(bench.ends(), [(run(1), RunEnd::Done)]);
 }
 
@@ -103,10 +103,10 @@
 fn a_start_whose_answer_was_lost_goes_on_if_the_list_shows_it() {
     let mut bench = Bench::ready();
     bench.order(run(1), 600, 100);
-    bench.lists(vec![(run(1), 10)], Vec::new());
-    bench.started(run(1), Err(WorkerCallError::Unanswered));
+    bench.list_runs(vec![(run(1), 10)], Vec::new());
+    bench.answer_start(run(1), Err(WorkerCallError::Unanswered));
     assert!(bench.stops().is_empty());
-    bench.lists(Vec::new(), vec![(1, run(1), WorkerEnd::Done)]);
+    bench.list_runs(Vec::new(), vec![(1, run(1), WorkerEnd::Done)]);
     assert_eq!(bench.ends(), [(run(1), RunEnd::Done)]);
 }
 
@@ -114,12 +114,12 @@
 fn a_stop_that_is_not_answered_is_sent_again_at_once() {
     let mut bench = Bench::ready();
     bench.order(run(1), 600, 100);
-    bench.started(run(1), Ok(StartReply::Running));
+    bench.answer_start(run(1), Ok(StartReply::Running));
     let message = ToGate::Stop { run: run(1) };
     bench.gate.handle_message(bench.now, ENTRY, message);
     bench.collect();
-    bench.pass(100);
-    bench.stopped(run(1), Err(WorkerCallError::Unanswered));
+    bench.advance(100);
+    bench.answer_stop(run(1), Err(WorkerCallError::Unanswered));
     assert_eq!(bench.stops(), [run(1), run(1)]);
 }
 
@@ -128,14 +128,14 @@
 fn a_stop_that_broke_off_is_sent_again_after_a_while() {
     let mut bench = Bench::ready();
     bench.order(run(1), 600, 100);
-    bench.started(run(1), Ok(StartReply::Running));
+    bench.answer_start(run(1), Ok(StartReply::Running));
     let message = ToGate::Stop { run: run(1) };
     bench.gate.handle_message(bench.now, ENTRY, message);
     bench.collect();
-    bench.stopped(run(1), Err(WorkerCallError::Unanswered));
+    bench.answer_stop(run(1), Err(WorkerCallError::Unanswered));
     assert_eq!(bench.stops(), [run(1)]);
     bench.gate.frame_received(bench.now, ENTRY);
-    bench.pass(170);
+    bench.advance(170);
     assert_eq!(bench.stops(), [run(1), run(1)]);
 }
 
@@ -143,10 +143,10 @@
 fn the_runs_of_a_silent_entry_are_stopped() {
     let mut bench = Bench::ready();
     bench.order(run(1), 600, 100);
-    bench.started(run(1), Ok(StartReply::Running));
-    bench.pass(450);
+    bench.answer_start(run(1), Ok(StartReply::Running));
+    bench.advance(450);
     assert!(bench.stops().is_empty());
-    bench.pass(20);
+    bench.advance(20);
     assert_eq!(bench.stops(), [run(1)]);
     let closed = bench
         .actions
@@ -159,16 +159,16 @@
 fn an_entry_that_comes_back_in_time_keeps_its_runs() {
     let mut bench = Bench::ready();
     bench.order(run(1), 600, 100);
-    bench.started(run(1), Ok(StartReply::Running));
+    bench.answer_start(run(1), Ok(StartReply::Running));
     bench.gate.session_closed(ENTRY);
-    bench.pass(200);
+    bench.advance(200);
     let open = OpenRun {
         run: run(1),
         sent_to: 1,
         needs: resources(600),
         expected_us: 100 * MS,
     };
-    bench.hello(vec![open]);
+    bench.connect_entry(vec![open]);
     assert!(bench.stops().is_empty());
 }
 
@@ -176,20 +176,20 @@
 fn what_a_returning_entry_does_not_name_is_stopped() {
     let mut bench = Bench::ready();
     bench.order(run(1), 600, 100);
-    bench.started(run(1), Ok(StartReply::Running));
+    bench.answer_start(run(1), Ok(StartReply::Running));
     bench.gate.session_closed(ENTRY);
-    bench.hello(Vec::new());
+    bench.connect_entry(Vec::new());
     assert_eq!(bench.stops(), [run(1)]);
 }
 
 #[test]
 fn a_new_gate_takes_nothing_before_the_runs_it_found_are_claimed_or_over() {
-    let mut bench = Bench::unlisted();
-    bench.lists(vec![(run(7), 30)], Vec::new());
-    bench.hello(Vec::new());
+    let mut bench = Bench::without_run_list();
+    bench.list_runs(vec![(run(7), 30)], Vec::new());
+    bench.connect_entry(Vec::new());
     bench.order(run(1), 100, 2_000);
     assert!(bench.ordered().is_empty());
-    bench.pass(200);
+    bench.advance(200);
     assert!(bench.stops().is_empty(), "its entry may still come");
     let renewals = bench
         .actions
@@ -199,26 +199,26 @@
     // prolonged a run whose entry was gone.
     assert_eq!(renewals.count(), 0, "an orphan is not prolonged");
     bench.gate.frame_received(bench.now, ENTRY);
-    bench.pass(200);
+    bench.advance(200);
     assert_eq!(bench.stops(), [run(7)]);
-    bench.lists(Vec::new(), vec![(1, run(7), WorkerEnd::Stopped)]);
+    bench.list_runs(Vec::new(), vec![(1, run(7), WorkerEnd::Stopped)]);
     assert_eq!(bench.ordered(), [run(1)]);
 }
 
 #[test]
 fn a_new_gate_gives_a_claimed_run_back_to_its_entry() {
-    let mut bench = Bench::unlisted();
-    bench.lists(vec![(run(7), 30)], Vec::new());
+    let mut bench = Bench::without_run_list();
+    bench.list_runs(vec![(run(7), 30)], Vec::new());
     let open = OpenRun {
         run: run(7),
         sent_to: 9,
         needs: resources(600),
         expected_us: 100 * MS,
     };
-    bench.hello(vec![open]);
+    bench.connect_entry(vec![open]);
     bench.order(run(1), 600, 300);
     assert!(bench.ordered().is_empty(), "the claimed run holds its room");
-    bench.lists(Vec::new(), vec![(1, run(7), WorkerEnd::Done)]);
+    bench.list_runs(Vec::new(), vec![(1, run(7), WorkerEnd::Done)]);
     assert_eq!(bench.ends(), [(run(7), RunEnd::Done)]);
     assert_eq!(bench.ordered(), [run(1)]);
 }
@@ -226,20 +226,20 @@
 /// What becomes of a claimed run that the worker does not list, if it was sent to
 /// the gate's life `sent_to`; the present one is 1.
 fn end_of_missing_claim(sent_to: u64) -> RunEnd {
-    let mut bench = Bench::unlisted();
+    let mut bench = Bench::without_run_list();
     let open = OpenRun {
         run: run(7),
         sent_to,
         needs: resources(600),
         expected_us: 100 * MS,
     };
-    bench.hello(vec![open]);
-    bench.lists(Vec::new(), Vec::new());
+    bench.connect_entry(vec![open]);
+    bench.list_runs(Vec::new(), Vec::new());
     assert!(bench.ends().is_empty());
     assert_eq!(bench.stops(), [run(7)]);
-    bench.stopped(run(7), Ok(()));
-    bench.pass(5);
-    bench.lists(Vec::new(), Vec::new());
+    bench.answer_stop(run(7), Ok(()));
+    bench.advance(5);
+    bench.list_runs(Vec::new(), Vec::new());
     let ends = bench.ends();
     assert_eq!(ends.len(), 1);
     ends[0].1
@@ -265,10 +265,10 @@
     let mut bench = Bench::ready();
     bench.order(run(1), 600, 500);
     bench.order(run(2), 600, 500);
-    bench.lists(Vec::new(), vec![(1, run(2), WorkerEnd::Done)]);
+    bench.list_runs(Vec::new(), vec![(1, run(2), WorkerEnd::Done)]);
     assert!(bench.ends().is_empty());
-    bench.started(run(1), Ok(StartReply::Running));
-    bench.lists(Vec::new(), vec![(2, run(1), WorkerEnd::Done)]);
+    bench.answer_start(run(1), Ok(StartReply::Running));
+    bench.list_runs(Vec::new(), vec![(2, run(1), WorkerEnd::Done)]);
     assert_eq!(bench.ordered(), [run(1), run(2)]);
 }
 
@@ -286,14 +286,14 @@
 fn a_run_that_stands_still_is_stopped_and_named_stalled() {
     let mut bench = Bench::ready();
     bench.order(run(1), 600, 100);
-    bench.started(run(1), Ok(StartReply::Running));
+    bench.answer_start(run(1), Ok(StartReply::Running));
     for _ in 0..3 {
-        bench.pass(100);
+        bench.advance(100);
         bench.gate.frame_received(bench.now, ENTRY);
     }
-    bench.lists(vec![(run(1), 0)], Vec::new());
+    bench.list_runs(vec![(run(1), 0)], Vec::new());
     assert_eq!(bench.stops(), [run(1)]);
-    bench.lists(Vec::new(), vec![(1, run(1), WorkerEnd::Stopped)]);
+    bench.list_runs(Vec::new(), vec![(1, run(1), WorkerEnd::Stopped)]);
     assert_eq!(bench.ends(), [(run(1), RunEnd::Stalled)]);
 }
 
@@ -304,12 +304,12 @@
     let mut bench = Bench::ready();
     bench.expected_us = 10_000 * MS;
     bench.order(run(1), 600, 100);
-    bench.started(run(1), Ok(StartReply::Running));
+    bench.answer_start(run(1), Ok(StartReply::Running));
     for percent in 0..12 {
         for _ in 0..5 {
             bench.gate.frame_received(bench.now, ENTRY);
-            bench.pass(60);
-            bench.lists(vec![(run(1), percent)], Vec::new());
+            bench.advance(60);
+            bench.list_runs(vec![(run(1), percent)], Vec::new());
         }
     }
     assert!(bench.stops().is_empty());
@@ -319,11 +319,11 @@
 fn a_long_run_that_gets_on_is_left_alone() {
     let mut bench = Bench::ready();
     bench.order(run(1), 600, 100);
-    bench.started(run(1), Ok(StartReply::Running));
+    bench.answer_start(run(1), Ok(StartReply::Running));
     for percent in [5, 6, 7, 8, 9] {
-        bench.pass(100);
+        bench.advance(100);
         bench.gate.frame_received(bench.now, ENTRY);
-        bench.lists(vec![(run(1), percent)], Vec::new());
+        bench.list_runs(vec![(run(1), percent)], Vec::new());
     }
     assert!(bench.stops().is_empty());
 }
@@ -334,13 +334,13 @@
     let runs = [run(1), run(2), run(3)];
     for run in runs {
         bench.order(run, 100, 100);
-        bench.started(run, Ok(StartReply::Running));
+        bench.answer_start(run, Ok(StartReply::Running));
     }
     let mut stopped_after_ms = 0;
     for percent in [4, 8, 12, 16] {
-        bench.pass(40);
+        bench.advance(40);
         bench.gate.frame_received(bench.now, ENTRY);
-        bench.lists(runs.map(|run| (run, percent)).to_vec(), Vec::new());
+        bench.list_runs(runs.map(|run| (run, percent)).to_vec(), Vec::new());
         stopped_after_ms += 40;
         if !bench.stops().is_empty() {
             break;
@@ -354,11 +354,11 @@
 fn one_run_that_was_guessed_too_short_does_not_make_its_worker_slow() {
     let mut bench = Bench::ready();
     bench.order(run(1), 100, 100);
-    bench.started(run(1), Ok(StartReply::Running));
+    bench.answer_start(run(1), Ok(StartReply::Running));
     for percent in [4, 8, 12, 16] {
-        bench.pass(40);
+        bench.advance(40);
         bench.gate.frame_received(bench.now, ENTRY);
-        bench.lists(vec![(run(1), percent)], Vec::new());
+        bench.list_runs(vec![(run(1), percent)], Vec::new());
     }
     assert!(bench.stops().is_empty());
 }
@@ -378,8 +378,8 @@
 
 #[test]
 fn lists_count_only_under_the_token() {
-    let mut bench = Bench::unlisted();
-    bench.hello(Vec::new());
+    let mut bench = Bench::without_run_list();
+    bench.connect_entry(Vec::new());
     bench.order(run(1), 100, 300);
     assert!(bench.ordered().is_empty());
     let fenced = PollReply {
@@ -412,21 +412,21 @@
 /// had claimed and then stopped, before the worker was known.
 #[test]
 fn a_claim_that_was_withdrawn_before_the_lists_came_is_stopped() {
-    let mut bench = Bench::unlisted();
+    let mut bench = Bench::without_run_list();
     let open = OpenRun {
         run: run(7),
         sent_to: 9,
         needs: resources(600),
         expected_us: 100 * MS,
     };
-    bench.hello(vec![open]);
+    bench.connect_entry(vec![open]);
     let message = ToGate::Stop { run: run(7) };
     bench.gate.handle_message(bench.now, ENTRY, message);
     bench.collect();
-    bench.lists(vec![(run(7), 30)], Vec::new());
-    bench.pass(170);
+    bench.list_runs(vec![(run(7), 30)], Vec::new());
+    bench.advance(170);
     assert!(bench.stops().len() >= 2, "{:?}", bench.stops());
-    bench.lists(Vec::new(), vec![(1, run(7), WorkerEnd::Stopped)]);
+    bench.list_runs(Vec::new(), vec![(1, run(7), WorkerEnd::Stopped)]);
     assert_eq!(bench.ends(), [(run(7), RunEnd::Stopped)]);
 }
 
@@ -437,12 +437,12 @@
     let runs = [run(1), run(2), run(3)];
     for run in runs {
         bench.order(run, 100, 100);
-        bench.started(run, Ok(StartReply::Running));
+        bench.answer_start(run, Ok(StartReply::Running));
     }
     for percent in [4, 8, 12, 16] {
-        bench.pass(40);
+        bench.advance(40);
         bench.gate.frame_received(bench.now, ENTRY);
-        bench.lists(runs.map(|run| (run, percent)).to_vec(), Vec::new());
+        bench.list_runs(runs.map(|run| (run, percent)).to_vec(), Vec::new());
     }
     assert!(bench.stops().is_empty());
 }
@@ -451,10 +451,10 @@
 fn an_urgent_run_goes_before_those_that_wait_longer() {
     let mut bench = Bench::ready();
     bench.order(run(1), 1_000, 500);
-    bench.started(run(1), Ok(StartReply::Running));
+    bench.answer_start(run(1), Ok(StartReply::Running));
     bench.order(run(2), 1_000, 100);
     bench.order_as(Priority::URGENT, run(3), 1_000, 400);
-    bench.lists(Vec::new(), vec![(1, run(1), WorkerEnd::Done)]);
+    bench.list_runs(Vec::new(), vec![(1, run(1), WorkerEnd::Done)]);
     assert_eq!(bench.ordered(), vec![run(1), run(3)]);
 }
 
@@ -462,11 +462,11 @@
 fn less_urgent_runs_leave_the_room_that_an_urgent_one_waits_for() {
     let mut bench = Bench::ready();
     bench.order(run(1), 600, 500);
-    bench.started(run(1), Ok(StartReply::Running));
+    bench.answer_start(run(1), Ok(StartReply::Running));
     bench.order_as(Priority::URGENT, run(2), 500, 400);
     bench.order(run(3), 300, 400);
     assert_eq!(bench.ordered(), vec![run(1)]);
-    bench.lists(Vec::new(), vec![(1, run(1), WorkerEnd::Done)]);
+    bench.list_runs(Vec::new(), vec![(1, run(1), WorkerEnd::Done)]);
     assert_eq!(bench.ordered(), vec![run(1), run(2), run(3)]);
 }
 
@@ -476,7 +476,7 @@
     bench.order(run(1), 1_000, 500);
     bench.order(run(2), 400, 500);
     bench.order_as(Priority::URGENT, run(3), 300, 500);
-    bench.pass(20);
+    bench.advance(20);
     let load = bench.last_load();
     assert_eq!(load.queue_ahead(Priority::URGENT).cpu_milli, 300);
     assert_eq!(load.queue_ahead(Priority::NORMAL).cpu_milli, 700);
--- a/tests/ephemeral_gate_turns.rs
+++ b/tests/ephemeral_gate_turns.rs
@@ -13,12 +13,12 @@
 fn a_start_that_waits_for_room_is_confirmed_within_two_turns() {
     let mut bench = Bench::ready();
     bench.order(run(1), 1_000, 0);
-    bench.started(run(1), Ok(StartReply::Running));
-    bench.pass(1);
+    bench.answer_start(run(1), Ok(StartReply::Running));
+    bench.advance(1);
     bench.actions.clear();
     bench.order(run(2), 1_000, 500);
-    bench.pass(10);
-    bench.pass(10);
+    bench.advance(10);
+    bench.advance(10);
     assert_eq!(bench.last_load().seen, 2);
 }
 
@@ -39,11 +39,11 @@
 #[test]
 fn an_entry_without_work_is_told_the_load_rarely() {
     let mut bench = Bench::ready();
-    bench.pass(10);
+    bench.advance(10);
     bench.actions.clear();
     for _ in 0..300 {
         bench.gate.frame_received(bench.now, ENTRY);
-        bench.pass(10);
+        bench.advance(10);
     }
     let loads = loads_alone(&bench);
     assert!((2..=3).contains(&loads), "{loads} in 3 s");
@@ -52,11 +52,11 @@
 #[test]
 fn a_gate_waits_for_events_and_for_what_is_due() {
     let mut bench = Bench::ready();
-    bench.pass(10);
+    bench.advance(10);
     assert_eq!(bench.gate.longest_pause(bench.now).as_millis(), 50);
     bench.order(run(1), 1_000, 0);
     assert_eq!(bench.gate.longest_pause(bench.now).as_millis(), 10);
-    bench.started(run(1), Ok(StartReply::Running));
+    bench.answer_start(run(1), Ok(StartReply::Running));
     assert_eq!(bench.gate.longest_pause(bench.now).as_millis(), 50);
     bench.order(run(2), 1_000, 500);
     assert_eq!(bench.gate.longest_pause(bench.now).as_millis(), 10);
@@ -67,7 +67,7 @@
 fn a_gate_wakes_up_when_an_entry_falls_silent() {
     let mut bench = Bench::ready();
     bench.order(run(1), 1_000, 0);
-    bench.started(run(1), Ok(StartReply::Running));
+    bench.answer_start(run(1), Ok(StartReply::Running));
     let began_us = bench.now.mono_us;
     for _ in 0..100 {
         let pause = bench.gate.longest_pause(bench.now);
@@ -75,7 +75,7 @@
             break;
         }
         bench.now.mono_us += pause.as_micros() as u64;
-        bench.pass(0);
+        bench.advance(0);
     }
     assert_eq!(bench.stops(), [run(1)]);
     let took_ms = (bench.now.mono_us - began_us) / MS;
--- a/tests/ephemeral_losses.rs
+++ b/tests/ephemeral_losses.rs
@@ -60,16 +60,16 @@
 fn running(age_ms: u64) -> GateBench {
     let mut bench = GateBench::ready();
     bench.order(run(1), 600, 100);
-    bench.started(run(1), Ok(StartReply::Running));
+    bench.answer_start(run(1), Ok(StartReply::Running));
     bench.gate.frame_received(bench.now, gate_bench::ENTRY);
-    bench.pass(age_ms);
+    bench.advance(age_ms);
     bench
 }
 
 #[test]
 fn a_worker_that_refuses_is_lost_under_what_ran_there() {
     let mut bench = running(10);
-    bench.stopped(run(9), Err(WorkerCallError::Refused));
+    bench.answer_stop(run(9), Err(WorkerCallError::Refused));
     assert_eq!(told(&bench), [loss(1, "w", true)]);
     assert_eq!(recorded(&bench), [loss(1, "w", true)]);
     let told_at = |action: &GateAction| {
@@ -97,7 +97,7 @@
 #[test]
 fn a_loss_late_in_a_run_is_told_as_such() {
     let mut bench = running(30);
-    bench.stopped(run(9), Err(WorkerCallError::Refused));
+    bench.answer_stop(run(9), Err(WorkerCallError::Refused));
     assert_eq!(told(&bench), [loss(1, "w", false)]);
 }
 
@@ -106,8 +106,8 @@
 fn the_age_of_a_run_counts_until_the_hold_failed() {
     let mut bench = running(20);
     bench.gate.poll_failed(bench.now, true);
-    bench.pass(25);
-    bench.stopped(run(9), Err(WorkerCallError::Refused));
+    bench.advance(25);
+    bench.answer_stop(run(9), Err(WorkerCallError::Refused));
     assert_eq!(told(&bench), [loss(1, "w", true)]);
 }
 
@@ -116,7 +116,7 @@
     let mut bench = running(10);
     bench.gate.worker_report(bench.now, report("w", true, 2));
     bench.collect();
-    bench.stopped(run(9), Err(WorkerCallError::Refused));
+    bench.answer_stop(run(9), Err(WorkerCallError::Refused));
     assert_eq!(bench.ends(), [(run(1), RunEnd::Stopped)]);
     assert!(told(&bench).is_empty() && recorded(&bench).is_empty());
     let mut bench = running(10);
@@ -130,15 +130,15 @@
     let mut bench = running(10);
     bench.gate.poll_failed(bench.now, true);
     for _ in 0..3 {
-        bench.started(run(8), Err(WorkerCallError::Unanswered));
+        bench.answer_start(run(8), Err(WorkerCallError::Unanswered));
     }
     for _ in 0..8 {
         assert!(bench.ends().is_empty() == told(&bench).is_empty());
         bench.gate.frame_received(bench.now, gate_bench::ENTRY);
-        bench.pass(100);
+        bench.advance(100);
     }
     assert_eq!(told(&bench), [possible(1, "w")]);
-    bench.another_life_answers();
+    bench.answer_other_incarnation();
     assert_eq!(told(&bench), [possible(1, "w"), loss(1, "w", true)]);
     assert_eq!(recorded(&bench), [loss(1, "w", true)], "kept once");
 }
@@ -149,8 +149,8 @@
     let mut bench = running(10);
     bench.order(run(2), 100, 100);
     bench.order(run(3), 100, 100);
-    bench.started(run(3), Err(WorkerCallError::Unanswered));
-    bench.started(run(2), Err(WorkerCallError::Refused));
+    bench.answer_start(run(3), Err(WorkerCallError::Unanswered));
+    bench.answer_start(run(2), Err(WorkerCallError::Refused));
     let told = told(&bench);
     assert!(told.contains(&loss(1, "w", true)), "{told:?}");
     assert!(told.iter().all(|loss| loss.job != JobId(2)), "{told:?}");
@@ -170,11 +170,11 @@
     ] {
         let mut bench = GateBench::ready();
         bench.order(run(2), 100, 100);
-        bench.stopped(run(9), Err(WorkerCallError::Refused));
+        bench.answer_stop(run(9), Err(WorkerCallError::Refused));
         assert!(told(&bench).is_empty());
-        bench.started(run(2), answer);
+        bench.answer_start(run(2), answer);
         assert_eq!(told(&bench), losses, "{answer:?}");
-        bench.started(run(2), answer);
+        bench.answer_start(run(2), answer);
         assert_eq!(told(&bench), losses, "told once");
     }
 }
@@ -183,9 +183,9 @@
 fn what_was_there_before_younger_runs_is_not_the_likeliest_reason() {
     let mut bench = running(20);
     bench.order(run(2), 100, 100);
-    bench.started(run(2), Ok(StartReply::Running));
-    bench.pass(5);
-    bench.stopped(run(9), Err(WorkerCallError::Refused));
+    bench.answer_start(run(2), Ok(StartReply::Running));
+    bench.advance(5);
+    bench.answer_stop(run(9), Err(WorkerCallError::Refused));
     assert_eq!(told(&bench), [loss(1, "w", false), loss(2, "w", true)]);
 }
 
@@ -196,11 +196,11 @@
     let mut bench = running(10);
     for _ in 0..9 {
         bench.gate.frame_received(bench.now, gate_bench::ENTRY);
-        bench.pass(100);
+        bench.advance(100);
     }
     assert_eq!(bench.ends(), [(run(1), RunEnd::Stopped)]);
     assert!(told(&bench).is_empty(), "this gate may have stood still");
-    bench.another_life_answers();
+    bench.answer_other_incarnation();
     assert_eq!(told(&bench).len(), 1);
 }
 
@@ -236,8 +236,8 @@
 /// The gate of the newest start loses its worker under it.
 fn lose(bench: &mut EntryBench, worker: &str, early: bool) {
     let start = *bench.starts.last().unwrap();
-    bench.tell(start.0.0, ToEntry::Losses(vec![loss(1, worker, early)]));
-    bench.ended(start, RunEnd::Stopped);
+    bench.deliver(start.0.0, ToEntry::Losses(vec![loss(1, worker, early)]));
+    bench.end_run(start, RunEnd::Stopped);
 }
 
 #[test]
@@ -265,16 +265,16 @@
     for worker in ["w-1", "w-2", "w-3"] {
         assert!(bench.answers.is_empty(), "{worker}");
         let start = *bench.starts.last().unwrap();
-        bench.tell(start.0.0, ToEntry::Losses(vec![possible(1, worker)]));
-        bench.ended(start, RunEnd::Stopped);
+        bench.deliver(start.0.0, ToEntry::Losses(vec![possible(1, worker)]));
+        bench.end_run(start, RunEnd::Stopped);
     }
     assert_eq!(bench.codes(), [ResultCode::OutcomeUnknown]);
     assert_eq!(bench.answers[0].1.effect, Effect::Unknown);
     bench.submit(2, job(1, 1), 0);
     assert_eq!(bench.starts.len(), 3, "it is not started again");
     assert_eq!(bench.codes(), [ResultCode::OutcomeUnknown; 2]);
-    bench.tell(1, ToEntry::Losses(vec![loss(1, "w-1", false)]));
-    bench.tell(1, ToEntry::Losses(vec![loss(1, "w-3", false)]));
+    bench.deliver(1, ToEntry::Losses(vec![loss(1, "w-1", false)]));
+    bench.deliver(1, ToEntry::Losses(vec![loss(1, "w-3", false)]));
     bench.submit(3, job(1, 1), 0);
     let last = bench.codes().pop();
     assert_eq!(last, Some(ResultCode::TaskFailed), "two are known by now");
@@ -285,7 +285,7 @@
 #[test]
 fn a_run_that_may_have_been_over_is_a_possible_loss() {
     let mut bench = running(34);
-    bench.stopped(run(9), Err(WorkerCallError::Refused));
+    bench.answer_stop(run(9), Err(WorkerCallError::Refused));
     assert_eq!(told(&bench), [possible(1, "w")]);
 }
 
@@ -293,11 +293,11 @@
 #[test]
 fn a_refusal_meant_for_an_earlier_life_ends_no_worker() {
     let mut bench = running(10);
-    bench.another_life_answers();
+    bench.answer_other_incarnation();
     bench.actions.clear();
     bench.gate.worker_report(bench.now, report("w-2", false, 2));
     bench.collect();
-    bench.answer_first_hold();
+    bench.answer_first_poll();
     for refused in [WorkerCallError::Refused, WorkerCallError::OtherIncarnation] {
         bench
             .gate
@@ -323,8 +323,8 @@
     assert_eq!(bench.ordered(), [run(1), run(2)]);
     let apart = RunEnd::NotRun(NotRunReason::Apart);
     assert_eq!(bench.ends(), [(run(3), apart)]);
-    bench.started(run(2), Ok(StartReply::Running));
-    bench.lists(vec![(run(1), 10)], vec![(1, run(2), WorkerEnd::Done)]);
+    bench.answer_start(run(2), Ok(StartReply::Running));
+    bench.list_runs(vec![(run(1), 10)], vec![(1, run(2), WorkerEnd::Done)]);
     bench.order(run(4), 100, 100);
     assert_eq!(bench.ordered().last(), Some(&run(4)));
 }
@@ -342,7 +342,7 @@
     });
     assert_eq!(orders.collect::<Vec<_>>(), [false, true]);
     let second = bench.starts[1];
-    bench.ended(second, RunEnd::NotRun(NotRunReason::Apart));
+    bench.end_run(second, RunEnd::NotRun(NotRunReason::Apart));
     assert_eq!(bench.starts.len(), 3);
     assert_ne!(bench.starts[2].0, second.0);
 }
@@ -352,10 +352,10 @@
 #[test]
 fn a_task_is_not_kept_apart_where_there_is_no_other_gate() {
     let mut bench = EntryBench::new(1);
-    bench.tell(1, ToEntry::Losses(vec![loss(1, "w-1", false)]));
+    bench.deliver(1, ToEntry::Losses(vec![loss(1, "w-1", false)]));
     bench.submit(1, job(1, 1), 0);
     let first = bench.starts[0];
-    bench.ended(first, RunEnd::NotRun(NotRunReason::Apart));
+    bench.end_run(first, RunEnd::NotRun(NotRunReason::Apart));
     let orders = bench.actions.iter().filter_map(|action| match action {
         DispatchAction::Send {
             message: ToGate::Start(order),
@@ -383,9 +383,9 @@
     }
     let first = bench.starts.clone();
     let all = (1..=3).map(|id| loss(id, "w-1", false)).collect();
-    bench.tell(first[0].0.0, ToEntry::Losses(all));
+    bench.deliver(first[0].0.0, ToEntry::Losses(all));
     for start in first {
-        bench.ended(start, RunEnd::Stopped);
+        bench.end_run(start, RunEnd::Stopped);
     }
     let next: HashSet<u64> = bench.starts[3..].iter().map(|start| start.0.0).collect();
     assert_eq!(next.len(), 3, "{:?}", bench.starts);
@@ -395,7 +395,7 @@
 fn one_loss_that_is_told_twice_counts_once() {
     let mut bench = started();
     for _ in 0..5 {
-        bench.tell(1, ToEntry::Losses(vec![loss(1, "w-1", true)]));
+        bench.deliver(1, ToEntry::Losses(vec![loss(1, "w-1", true)]));
     }
     assert!(bench.answers.is_empty());
 }
@@ -405,7 +405,7 @@
     let mut bench = started();
     let others = ["w-7", "w-8", "w-9"].map(|worker| loss(1, worker, true));
     let others = others.to_vec();
-    bench.tell(3, ToEntry::Losses(others));
+    bench.deliver(3, ToEntry::Losses(others));
     assert_eq!(bench.stops, [bench.starts[0].1]);
     assert_eq!(bench.codes(), [ResultCode::TaskFailed]);
 }
@@ -436,13 +436,13 @@
 fn an_entry_tells_of_a_worker_that_was_lost_with_its_gate() {
     let mut bench = started();
     let gate = bench.starts[0].0.0;
-    bench.pass(10);
+    bench.advance(10);
     bench.dispatcher.disconnected(SessionId(gate));
     for _ in 0..6 {
         (1..=3).filter(|other| *other != gate).for_each(|other| {
             bench.dispatcher.frame_received(bench.now, SessionId(other));
         });
-        bench.pass(100);
+        bench.advance(100);
     }
     assert_eq!(bench.codes(), [ResultCode::OutcomeUnknown]);
     bench.connect(gate);
--- a/tests/ephemeral_priority_classes.rs
+++ b/tests/ephemeral_priority_classes.rs
@@ -71,9 +71,9 @@
     let mut bench = Bench::ready();
     for id in 1..=25 {
         send(&mut bench, id, &URGENT_ORDER);
-        bench.started(run(id), Ok(StartReply::Running));
-        bench.pass(40);
-        bench.lists(Vec::new(), vec![(id, run(id), WorkerEnd::Done)]);
+        bench.answer_start(run(id), Ok(StartReply::Running));
+        bench.advance(40);
+        bench.list_runs(Vec::new(), vec![(id, run(id), WorkerEnd::Done)]);
     }
     bench.actions.clear();
     bench
@@ -84,7 +84,7 @@
     for id in 100..100 + count {
         send(bench, id, order);
         if bench.ordered().contains(&run(id)) {
-            bench.started(run(id), Ok(StartReply::Running));
+            bench.answer_start(run(id), Ok(StartReply::Running));
         }
     }
     bench.ordered()
@@ -96,7 +96,7 @@
 fn long_runs_leave_a_slot_for_urgent_ones() {
     let mut bench = after_urgent_orders();
     assert_eq!(send_all(&mut bench, 5, &LONG_ORDER).len(), 4);
-    bench.pass(20);
+    bench.advance(20);
     let load = bench.last_load();
     assert_eq!(load.queue_ahead(Priority::URGENT).wait_us, 0);
     assert!(load.queue_ahead(LONG).wait_us > 500 * MS, "{load:?}");
@@ -109,7 +109,7 @@
 fn long_runs_take_all_room_once_no_urgent_ones_come() {
     let mut bench = after_urgent_orders();
     for _ in 0..50 {
-        bench.pass(100);
+        bench.advance(100);
         bench.gate.frame_received(bench.now, ENTRY);
     }
     assert_eq!(send_all(&mut bench, 5, &LONG_ORDER).len(), 5);
@@ -145,9 +145,9 @@
     let mut bench = Bench::ready();
     send_all(&mut bench, 5, &URGENT_ORDER);
     send(&mut bench, 1, &URGENT_ORDER);
-    bench.pass(30);
+    bench.advance(30);
     assert_eq!(bench.ends(), []);
-    bench.lists(Vec::new(), vec![(1, run(100), WorkerEnd::Done)]);
+    bench.list_runs(Vec::new(), vec![(1, run(100), WorkerEnd::Done)]);
     assert!(bench.ordered().contains(&run(1)));
 }
 
@@ -183,7 +183,7 @@
     send(&mut bench, 1, &patient);
     assert_eq!(bench.ends(), []);
     for id in 2..=6 {
-        bench.pass(1);
+        bench.advance(1);
         send(
             &mut bench,
             id,
--- a/tests/ephemeral_restarts.rs
+++ b/tests/ephemeral_restarts.rs
@@ -53,7 +53,7 @@
 
 impl Restarts {
     fn ready() -> Restarts {
-        let mut bench = Bench::empty();
+        let mut bench = Bench::without_worker();
         bench
             .gate
             .worker_report(bench.now, report_of(born(BORN_MS), 40));
@@ -69,7 +69,7 @@
         };
         restarts.answer();
         restarts.answer();
-        restarts.bench.hello(Vec::new());
+        restarts.bench.connect_entry(Vec::new());
         restarts.forget();
         restarts
     }
@@ -78,7 +78,7 @@
     fn with_run() -> Restarts {
         let mut restarts = Restarts::ready();
         restarts.bench.order(run(1), 600, 100);
-        restarts.bench.started(run(1), Ok(StartReply::Running));
+        restarts.bench.answer_start(run(1), Ok(StartReply::Running));
         restarts.running.push(run(1));
         restarts.pass(60);
         restarts.forget();
@@ -168,7 +168,7 @@
     fn pass(&mut self, ms: u64) {
         for _ in 0..ms.div_ceil(10) {
             self.bench.gate.frame_received(self.bench.now, ENTRY);
-            self.bench.pass(10);
+            self.bench.advance(10);
             self.clock_ms += 10;
             self.answer();
         }
@@ -222,7 +222,7 @@
     restarts.pass(1_100);
     restarts.bench.order(run(2), 600, 100);
     assert_eq!(restarts.bench.ordered(), [run(2)]);
-    restarts.bench.started(run(2), Ok(StartReply::Running));
+    restarts.bench.answer_start(run(2), Ok(StartReply::Running));
     restarts.ended.push((1, run(2)));
     restarts.pass(60);
     assert_eq!(restarts.acked_end, 1);
@@ -236,7 +236,7 @@
     restarts.report(born(LATER_MS), 1);
     restarts.pass(1_100);
     restarts.bench.order(run(2), 600, 100);
-    restarts.bench.started(run(2), Ok(StartReply::Running));
+    restarts.bench.answer_start(run(2), Ok(StartReply::Running));
     restarts.running.push(run(2));
     restarts.report(born(BORN_MS), 90);
     restarts.pass(100);
@@ -292,7 +292,7 @@
     let stops = |restarts: &Restarts| restarts.bench.stops().contains(&run(1));
     let mut barred = false;
     for _ in 0..20 {
-        restarts.bench.pass(5);
+        restarts.bench.advance(5);
         barred |= stops(&restarts);
         assert!(barred || restarts.bench.ends().is_empty());
         restarts.answer();
--- a/tests/ephemeral_safety.rs
+++ b/tests/ephemeral_safety.rs
@@ -7,8 +7,8 @@
 
 use bolero::TypeGenerator;
 use bolero::generator::bolero_generator::driver::{ByteSliceDriver, Options};
-use ephemeral_fleet::crashes::Down;
-use ephemeral_fleet::{Fleet, Without, limits};
+use ephemeral_fleet::crashes::Outage;
+use ephemeral_fleet::{DisabledGuards, Fleet, limits};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use winghold::ephemeral::limits::Limits;
@@ -65,16 +65,16 @@
         Happening::LateReport(which) => fleet.late_report(pick(which)),
         Happening::MuteWorker(which, length) => {
             let until_us = fleet.now_us + span(length);
-            fleet.workers[pick(which)].mute_until_us = until_us;
+            fleet.workers[pick(which)].unresponsive_until_us = until_us;
         }
         Happening::HangWorker(which) => {
             let worker = &mut fleet.workers[pick(which)];
             worker.hung = !worker.hung;
         }
-        Happening::LoseOrders => fleet.unanswered = 30,
-        Happening::AnswerOrders => fleet.unanswered = 0,
+        Happening::LoseOrders => fleet.unanswered_percent = 30,
+        Happening::AnswerOrders => fleet.unanswered_percent = 0,
         Happening::Evacuate(which, length) => fleet.evacuate(pick(which), span(length)),
-        Happening::TakeBack(which) => fleet.take_back(pick(which)),
+        Happening::TakeBack(which) => fleet.cancel_evacuation(pick(which)),
         Happening::Restart => restart(fleet),
         Happening::Wait(length) => fleet.run_for(u64::from(length) * 4_000),
     }
@@ -99,7 +99,7 @@
 }
 
 /// Plays one case and returns its fleet.
-fn play(seed: u64, limits: Limits, without: Without) -> Fleet {
+fn play(seed: u64, limits: Limits, without: DisabledGuards) -> Fleet {
     let mut fleet = Fleet::new(seed, limits, without);
     for happening in draw(seed) {
         apply(&mut fleet, happening);
@@ -109,11 +109,11 @@
 
 /// Mends everything and lets the fleet come to rest.
 fn settle(fleet: &mut Fleet) {
-    fleet.unanswered = 0;
+    fleet.unanswered_percent = 0;
     for worker in &mut fleet.workers {
         worker.hung = false;
     }
-    (0..3).for_each(|gate| fleet.take_back(gate));
+    (0..3).for_each(|gate| fleet.cancel_evacuation(gate));
     restart(fleet);
     fleet.run_for(60_000_000);
 }
@@ -129,8 +129,8 @@
 /// gates there are; the entry sent them there again and again, every 10 ms.
 #[test]
 fn a_job_is_served_where_one_failure_domain_is_left() {
-    let mut fleet = play(68, limits(), Without::default());
-    fleet.unanswered = 0;
+    let mut fleet = play(68, limits(), DisabledGuards::default());
+    fleet.unanswered_percent = 0;
     for worker in &mut fleet.workers {
         worker.hung = false;
     }
@@ -145,7 +145,7 @@
     let mut starts = 0;
     let mut completed = 0;
     for seed in 0..cases() {
-        let mut fleet = play(seed, limits(), Without::default());
+        let mut fleet = play(seed, limits(), DisabledGuards::default());
         settle(&mut fleet);
         assert_eq!(fleet.violations, Vec::<String>::new(), "seed {seed}");
         assert_eq!(fleet.unanswered_without_losses(), 0, "seed {seed}");
@@ -172,8 +172,10 @@
     match change {
         Sessions::Otherwise(happening) | Sessions::AndThen(happening) => apply(fleet, happening),
         Sessions::Rest(length) => fleet.run_for(1_000_000 + u64::from(length) * 12_000),
-        Sessions::Part(entry, gate) => fleet.part(usize::from(entry % 3), usize::from(gate % 3)),
-        Sessions::Join(entry) => fleet.join(usize::from(entry % 3)),
+        Sessions::Part(entry, gate) => {
+            fleet.disconnect_idle(usize::from(entry % 3), usize::from(gate % 3))
+        }
+        Sessions::Join(entry) => fleet.reconnect(usize::from(entry % 3)),
     }
 }
 
@@ -182,11 +184,11 @@
 fn promises_hold_while_sessions_rest_and_move() {
     let mut starts = 0;
     for seed in 0..cases() {
-        let mut fleet = Fleet::new(seed, limits(), Without::default());
+        let mut fleet = Fleet::new(seed, limits(), DisabledGuards::default());
         for change in draw(seed) {
             apply_to_sessions(&mut fleet, change);
         }
-        (0..3).for_each(|entry| fleet.join(entry));
+        (0..3).for_each(|entry| fleet.reconnect(entry));
         settle(&mut fleet);
         assert_eq!(fleet.violations, Vec::<String>::new(), "seed {seed}");
         assert_eq!(fleet.unanswered_without_losses(), 0, "seed {seed}");
@@ -205,7 +207,7 @@
     /// Its wall clock was put back meanwhile.
     RestartEarlier(u8, u8),
     /// It is down for a while; its connections are reset, or it falls silent.
-    Down(u8, u8, bool),
+    Outage(u8, u8, bool),
     LateReport(u8),
     LateDeparture(u8),
 }
@@ -218,10 +220,10 @@
         Lives::RestartEarlier(which, by) => {
             fleet.restart_worker(pick(which), u64::from(by) * 40);
         }
-        Lives::Down(which, length, refuses) => {
+        Lives::Outage(which, length, refuses) => {
             let down = match refuses {
-                true => Down::Refuses,
-                false => Down::Silent,
+                true => Outage::Refuses,
+                false => Outage::Silent,
             };
             fleet.take_down_and_restart(pick(which), down, u64::from(length) * 12_000);
         }
@@ -232,7 +234,7 @@
 
 /// Plays one case with workers that start again under the names they had.
 fn play_lives(seed: u64) -> Fleet {
-    let mut fleet = Fleet::with_births(seed, limits());
+    let mut fleet = Fleet::with_start_times(seed, limits());
     for change in draw(seed) {
         apply_to_lives(&mut fleet, change);
     }
@@ -268,7 +270,7 @@
 const BREAKING_CASES: u64 = 10_000;
 
 /// Whether some case breaks a promise.
-fn breaks(limits: Limits, without: Without) -> bool {
+fn breaks(limits: Limits, without: DisabledGuards) -> bool {
     let broken = |seed: u64| !play(seed, limits, without).violations.is_empty();
     (0..BREAKING_CASES).any(broken)
 }
@@ -280,7 +282,7 @@
         ..limits()
     };
     assert!(!longer.prevents_overlapping_runs());
-    assert!(breaks(longer, Without::default()));
+    assert!(breaks(longer, DisabledGuards::default()));
 }
 
 #[test]
@@ -290,14 +292,14 @@
         ..limits()
     };
     assert!(!longer.prevents_overlapping_runs());
-    assert!(breaks(longer, Without::default()));
+    assert!(breaks(longer, DisabledGuards::default()));
 }
 
 #[test]
 fn a_frame_that_was_held_up_must_not_be_acted_on() {
-    let without = Without {
+    let without = DisabledGuards {
         frame_age: true,
-        ..Without::default()
+        ..DisabledGuards::default()
     };
     assert!(breaks(limits(), without));
 }
@@ -306,9 +308,9 @@
 /// orders that waited meanwhile, and think that leases are in force which ran out.
 #[test]
 fn time_in_which_a_machine_is_suspended_must_count() {
-    let without = Without {
+    let without = DisabledGuards {
         suspended_time: true,
-        ..Without::default()
+        ..DisabledGuards::default()
     };
     assert!(breaks(limits(), without));
 }
--- a/tests/ephemeral_subset.rs
+++ b/tests/ephemeral_subset.rs
@@ -186,7 +186,7 @@
     let mut bench = Bench::new(1);
     let known = records.to_vec().into();
     bench.dispatcher.update_gates(bench.now, &known);
-    bench.steady(4_000);
+    bench.advance_connected(4_000);
     bench.load(1, load(1_000, 0));
     bench
 }
@@ -253,12 +253,12 @@
         ..record(0)
     });
     bench.dispatcher.update_gates(bench.now, &all.into());
-    bench.pass(1);
+    bench.advance(1);
     assert!(bench.dispatcher.wants_session("g1"), "it has work there");
     assert_eq!(parted(&bench), 0);
-    bench.ended(start, winghold::ephemeral::message::RunEnd::Done);
-    bench.pass(100);
+    bench.end_run(start, winghold::ephemeral::message::RunEnd::Done);
+    bench.advance(100);
     assert_eq!(parted(&bench), 0, "its last run was there a moment ago");
-    bench.steady(2_000);
+    bench.advance_connected(2_000);
     assert_eq!(parted(&bench), 1);
 }
--- a/tests/ephemeral_worker_life.rs
+++ b/tests/ephemeral_worker_life.rs
@@ -11,18 +11,18 @@
 fn a_mute_worker_gets_no_orders_and_its_runs_end_with_their_lease() {
     let mut bench = Bench::ready();
     bench.order(run(1), 100, 100);
-    bench.started(run(1), Ok(StartReply::Running));
+    bench.answer_start(run(1), Ok(StartReply::Running));
     bench.order(run(2), 100, 100);
-    bench.pass(130);
-    bench.started(run(2), Err(WorkerCallError::Unanswered));
-    bench.stopped(run(2), Err(WorkerCallError::Unanswered));
-    bench.stopped(run(2), Err(WorkerCallError::Unanswered));
+    bench.advance(130);
+    bench.answer_start(run(2), Err(WorkerCallError::Unanswered));
+    bench.answer_stop(run(2), Err(WorkerCallError::Unanswered));
+    bench.answer_stop(run(2), Err(WorkerCallError::Unanswered));
     bench.order(run(3), 100, 100);
     let end = RunEnd::NotRun(NotRunReason::NoWorker);
     assert_eq!(bench.ends(), [(run(3), end)]);
     for _ in 0..8 {
         bench.gate.frame_received(bench.now, ENTRY);
-        bench.pass(100);
+        bench.advance(100);
     }
     let stopped = (run(1), RunEnd::Stopped);
     assert!(bench.ends().contains(&stopped), "{:?}", bench.ends());
@@ -32,7 +32,7 @@
 fn a_leaving_worker_gets_nothing_and_finishes_what_it_has() {
     let mut bench = Bench::ready();
     bench.order(run(1), 600, 100);
-    bench.started(run(1), Ok(StartReply::Running));
+    bench.answer_start(run(1), Ok(StartReply::Running));
     bench.order(run(2), 600, 100);
     bench.gate.worker_report(bench.now, report("w", true, 2));
     bench.collect();
@@ -40,7 +40,7 @@
     let leaving = RunEnd::NotRun(NotRunReason::Leaving);
     assert_eq!(bench.ends(), [(run(2), leaving), (run(3), leaving)]);
     assert!(bench.stops().is_empty());
-    bench.lists(Vec::new(), vec![(1, run(1), WorkerEnd::Done)]);
+    bench.list_runs(Vec::new(), vec![(1, run(1), WorkerEnd::Done)]);
     assert!(bench.ends().contains(&(run(1), RunEnd::Done)));
 }
 
@@ -57,11 +57,11 @@
 fn what_ran_on_an_earlier_life_of_the_worker_is_over() {
     let mut bench = Bench::ready();
     bench.order(run(1), 600, 100);
-    bench.started(run(1), Ok(StartReply::Running));
+    bench.answer_start(run(1), Ok(StartReply::Running));
     bench.gate.worker_report(bench.now, report("w2", false, 1));
     bench.collect();
     assert!(bench.ends().is_empty(), "the report may be an old one");
-    bench.another_life_answers();
+    bench.answer_other_incarnation();
     assert_eq!(bench.ends(), [(run(1), RunEnd::Stopped)]);
     assert_eq!(bench.worker(), "w2".into());
 }
@@ -73,16 +73,16 @@
 fn a_late_report_of_an_earlier_life_changes_nothing_while_the_present_one_answers() {
     let mut bench = Bench::ready();
     bench.order(run(1), 600, 100);
-    bench.started(run(1), Ok(StartReply::Running));
+    bench.answer_start(run(1), Ok(StartReply::Running));
     bench.gate.worker_report(bench.now, report("w0", false, 9));
     bench.collect();
-    bench.pass(5);
-    bench.lists(vec![(run(1), 50)], Vec::new());
+    bench.advance(5);
+    bench.list_runs(vec![(run(1), 50)], Vec::new());
     bench.order(run(2), 600, 100);
     assert!(bench.ends().is_empty());
     assert_eq!(bench.ordered(), [run(1)], "the room is still taken");
     assert_eq!(bench.worker(), "w".into());
-    bench.another_life_answers();
+    bench.answer_other_incarnation();
     assert_eq!(
         bench.last_load().worker,
         None,
@@ -94,12 +94,12 @@
 fn a_life_that_was_superseded_does_not_come_back() {
     let mut bench = Bench::ready();
     bench.gate.worker_report(bench.now, report("w2", false, 1));
-    bench.another_life_answers();
+    bench.answer_other_incarnation();
     assert_eq!(bench.worker(), "w2".into());
     bench.gate.worker_report(bench.now, report("w", false, 50));
-    bench.another_life_answers();
+    bench.answer_other_incarnation();
     bench.gate.worker_report(bench.now, report("w", false, 51));
-    bench.pass(20);
+    bench.advance(20);
     assert_eq!(bench.last_load().worker, None);
 }
 
@@ -110,10 +110,10 @@
     bench.order(run(1), 600, 100);
     bench.order(run(2), 200, 100);
     bench.gate.worker_report(bench.now, report("w2", false, 1));
-    bench.another_life_answers();
-    bench.started(run(1), Ok(StartReply::OtherIncarnation));
-    bench.stopped(run(2), Err(WorkerCallError::OtherIncarnation));
-    bench.pass(20);
+    bench.answer_other_incarnation();
+    bench.answer_start(run(1), Ok(StartReply::OtherIncarnation));
+    bench.answer_stop(run(2), Err(WorkerCallError::OtherIncarnation));
+    bench.advance(20);
     let worker = bench.last_load().worker.map(|worker| worker.id.clone());
     assert_eq!(worker, Some("w2".into()));
 }
@@ -123,13 +123,13 @@
     let mut bench = Bench::ready();
     bench.order(run(1), 600, 100);
     bench.actions.clear();
-    bench.started(run(1), Ok(StartReply::OtherIncarnation));
+    bench.answer_start(run(1), Ok(StartReply::OtherIncarnation));
     let asked = bench.actions.iter().any(|action| match action {
         GateAction::Poll(call) => call.check && call.worker == Some("w".into()),
         _ => false,
     });
     assert!(asked);
-    bench.another_life_answers();
+    bench.answer_other_incarnation();
     assert_eq!(bench.ends(), [(run(1), RunEnd::Stopped)]);
 }
 
@@ -138,15 +138,15 @@
     let mut bench = Bench::ready();
     bench.gate.worker_left(bench.now, &"w".into());
     bench.gate.worker_report(bench.now, report("w", false, 50));
-    bench.pass(20);
+    bench.advance(20);
     assert_eq!(bench.last_load().worker, None);
 }
 
 #[test]
 fn a_recalled_life_gives_way_to_the_one_that_reports() {
-    let mut bench = Bench::unlisted();
+    let mut bench = Bench::without_run_list();
     bench.gate.worker_report(bench.now, report("w2", false, 1));
-    bench.another_life_answers();
+    bench.answer_other_incarnation();
     assert_eq!(bench.worker(), "w2".into());
 }
 
@@ -154,18 +154,18 @@
 fn a_mute_life_gives_way_once_nothing_can_run_on_it_any_more() {
     let mut bench = Bench::ready();
     bench.order(run(1), 600, 100);
-    bench.started(run(1), Ok(StartReply::Running));
-    bench.pass(130);
+    bench.answer_start(run(1), Ok(StartReply::Running));
+    bench.advance(130);
     for _ in 0..3 {
-        bench.stopped(run(9), Err(WorkerCallError::Unanswered));
+        bench.answer_stop(run(9), Err(WorkerCallError::Unanswered));
     }
     bench.gate.worker_report(bench.now, report("w2", false, 1));
-    bench.pass(100);
+    bench.advance(100);
     assert_eq!(bench.worker(), "w".into());
     assert!(bench.ends().is_empty());
     for _ in 0..8 {
         bench.gate.frame_received(bench.now, ENTRY);
-        bench.pass(100);
+        bench.advance(100);
     }
     assert_eq!(bench.ends(), [(run(1), RunEnd::Stopped)]);
     assert_eq!(bench.worker(), "w2".into());
@@ -184,17 +184,17 @@
 fn nothing_begins_beyond_a_capacity_that_has_shrunk_until_it_grows_again() {
     let mut bench = Bench::ready();
     bench.order(run(1), 600, 100);
-    bench.started(run(1), Ok(StartReply::Running));
+    bench.answer_start(run(1), Ok(StartReply::Running));
     bench.gate.worker_report(bench.now, resized(500, 5));
     bench.gate.worker_report(bench.now, resized(1_000, 4));
-    bench.pass(20);
+    bench.advance(20);
     assert_eq!(bench.last_load().free.cpu_milli, 0);
     bench.order(run(2), 300, 5_000);
     bench.order(run(3), 600, 5_000);
     assert_eq!(bench.ordered(), [run(1)]);
-    bench.lists(Vec::new(), vec![(1, run(1), WorkerEnd::Done)]);
+    bench.list_runs(Vec::new(), vec![(1, run(1), WorkerEnd::Done)]);
     assert_eq!(bench.ordered(), [run(1), run(2)], "what fits now");
-    bench.pass(20);
+    bench.advance(20);
     let worker = bench.last_load().worker.unwrap();
     assert_eq!(
         (worker.capacity.cpu_milli, worker.largest.cpu_milli),
@@ -213,7 +213,7 @@
     let mut bench = Bench::ready();
     for job in 1..=3 {
         bench.order(run(job), 100, 100);
-        bench.started(run(job), Ok(StartReply::Running));
+        bench.answer_start(run(job), Ok(StartReply::Running));
         bench
             .gate
             .handle_message(bench.now, ENTRY, ToGate::Stop { run: run(job) });
@@ -232,14 +232,14 @@
                 }
                 GateAction::Stop(call) => {
                     dials += 1;
-                    bench.stopped(call.run, Err(WorkerCallError::Unanswered));
+                    bench.answer_stop(call.run, Err(WorkerCallError::Unanswered));
                 }
                 GateAction::Start(call) => panic!("{} is ordered", call.run),
                 _ => {}
             }
         }
         bench.gate.frame_received(bench.now, ENTRY);
-        bench.pass(5);
+        bench.advance(5);
         let now = bench.now;
         for (_, sent, call) in holds.extract_if(.., |(due_us, ..)| *due_us <= now.mono_us) {
             let unanswered = Err(WorkerCallError::Unanswered);
--- a/tests/ephemeral_worker_speeds.rs
+++ b/tests/ephemeral_worker_speeds.rs
@@ -34,15 +34,15 @@
     bench.by_median = true;
     for run in runs {
         bench.order(*run, 100, 100);
-        bench.started(*run, Ok(StartReply::Running));
+        bench.answer_start(*run, Ok(StartReply::Running));
     }
     bench
 }
 
 fn listed(bench: &mut Bench, after_ms: u64, running: &[(RunId, u32)]) {
-    bench.pass(after_ms);
+    bench.advance(after_ms);
     bench.gate.frame_received(bench.now, ENTRY);
-    bench.lists(running.to_vec(), Vec::new());
+    bench.list_runs(running.to_vec(), Vec::new());
 }
 
 /// One run after the other, each of so many milliseconds; the slowness after the last.
@@ -50,15 +50,15 @@
     for (index, run_ms) in runs_ms.enumerate() {
         let number = first + index as u64;
         bench.order(run(number), 100, 100);
-        bench.started(run(number), Ok(StartReply::Running));
+        bench.answer_start(run(number), Ok(StartReply::Running));
         for _ in 0..run_ms / 50 {
-            bench.pass(50);
+            bench.advance(50);
             bench.gate.frame_received(bench.now, ENTRY);
         }
         let ended = vec![(number, run(number), WorkerEnd::Done)];
-        bench.lists(Vec::new(), ended);
+        bench.list_runs(Vec::new(), ended);
     }
-    bench.pass(50);
+    bench.advance(50);
     bench.last_load().slowness_percent
 }
 
@@ -88,7 +88,7 @@
     let slow = std::iter::repeat_n(200, 20);
     assert_eq!(after_runs(&mut bench, 1, slow), 200);
     for _ in 0..250 {
-        bench.pass(100);
+        bench.advance(100);
         bench.gate.frame_received(bench.now, ENTRY);
     }
     bench.order(run(99), 100, 100);
@@ -126,7 +126,7 @@
     bench.by_median = true;
     bench.expected_us = 1_500 * MS;
     bench.order(run(1), 100, 100);
-    bench.started(run(1), Ok(StartReply::Running));
+    bench.answer_start(run(1), Ok(StartReply::Running));
     for step in 0..30 {
         listed(&mut bench, 75, &[(run(1), step / 2)]);
     }
@@ -169,7 +169,7 @@
     for id in 1..=40 {
         bench.submit(id, dispatcher_bench::job(id, 1), 0);
         let start = *bench.starts.last().expect("a start");
-        bench.ended(start, RunEnd::Done);
+        bench.end_run(start, RunEnd::Done);
     }
     let gate = |slowness_percent, wait_us| GateLoad {
         slowness_percent,
--- a/tests/gate_bench/mod.rs
+++ b/tests/gate_bench/mod.rs
@@ -1,4 +1,4 @@
-//! A gate with a fake worker and a fake entry, one decision at a time.
+//! A gate with a simulated worker and entry, for tests of single decisions.
 
 #![allow(dead_code)]
 
@@ -19,7 +19,7 @@
 
 pub const ENTRY: SessionId = SessionId(1);
 pub const MS: u64 = 1_000;
-/// Token that the gate chooses on the worker's clock of 5,000 ms.
+/// Fencing token that the gate chooses when the worker's clock reads 5,000 ms.
 pub const FENCE: u64 = 5_001;
 
 pub struct Bench {
@@ -27,13 +27,13 @@
     pub now: Moment,
     pub actions: Vec<GateAction>,
     pub sent: u64,
-    /// Whether the runs that are ordered may be moved.
+    /// Whether ordered runs may be moved.
     pub movable: bool,
-    /// Whether workers were lost under their tasks.
+    /// Whether workers were lost under the tasks of ordered runs.
     pub implicated: bool,
-    /// Whether medians tell how fast the worker is.
+    /// Whether the worker's speed is judged by the median of ordered runs.
     pub by_median: bool,
-    /// Run time that is expected of them.
+    /// Expected time of ordered runs.
     pub expected_us: u64,
 }
 
@@ -79,8 +79,8 @@
 }
 
 impl Bench {
-    /// A gate that knows no worker.
-    pub fn empty() -> Bench {
+    /// A gate without a worker.
+    pub fn without_worker() -> Bench {
         let limits = Limits::new(
             std::time::Duration::from_millis(1_300),
             std::time::Duration::from_secs(1),
@@ -103,22 +103,22 @@
         }
     }
 
-    /// A gate whose worker was found, without its lists yet.
-    pub fn unlisted() -> Bench {
-        let mut bench = Bench::empty();
+    /// A gate that has found its worker but not received its list of runs.
+    pub fn without_run_list() -> Bench {
+        let mut bench = Bench::without_worker();
         bench.gate.worker_report(bench.now, report("w", false, 1));
         bench.collect();
-        bench.answer_first_hold();
+        bench.answer_first_poll();
         bench
     }
 
-    /// The worker answers the hold that asks for its clock only.
-    pub fn answer_first_hold(&mut self) {
-        let holds = self.actions.iter().find_map(|action| match action {
+    /// Answers the first poll, which only asks for the worker's clock.
+    pub fn answer_first_poll(&mut self) {
+        let poll = self.actions.iter().find_map(|action| match action {
             GateAction::Poll(call) => Some(call.clone()),
             _ => None,
         });
-        let call = holds.expect("a hold");
+        let call = poll.expect("a poll");
         assert_eq!(call.fence, None);
         let reply = PollReply {
             clock_ms: FENCE - 1,
@@ -131,14 +131,14 @@
 
     /// A gate with an empty worker and a connected entry.
     pub fn ready() -> Bench {
-        let mut bench = Bench::unlisted();
-        bench.lists(Vec::new(), Vec::new());
-        bench.hello(Vec::new());
+        let mut bench = Bench::without_run_list();
+        bench.list_runs(Vec::new(), Vec::new());
+        bench.connect_entry(Vec::new());
         bench.actions.clear();
         bench
     }
 
-    pub fn hello(&mut self, open: Vec<OpenRun>) {
+    pub fn connect_entry(&mut self, open: Vec<OpenRun>) {
         let hello = ToGate::Hello {
             entry: process("e", 1),
             config: 0,
@@ -153,7 +153,7 @@
         self.actions.extend(actions);
     }
 
-    pub fn pass(&mut self, ms: u64) {
+    pub fn advance(&mut self, ms: u64) {
         self.now.mono_us += ms * MS;
         self.gate.tick(self.now);
         self.collect();
@@ -185,7 +185,7 @@
         self.collect();
     }
 
-    pub fn started(&mut self, run: RunId, answer: Result<StartReply, WorkerCallError>) {
+    pub fn answer_start(&mut self, run: RunId, answer: Result<StartReply, WorkerCallError>) {
         let answer = answer.map(|reply| StartAnswer {
             reply,
             clock_ms: Some(5_100),
@@ -195,14 +195,14 @@
         self.collect();
     }
 
-    pub fn stopped(&mut self, run: RunId, answer: Result<(), WorkerCallError>) {
+    pub fn answer_stop(&mut self, run: RunId, answer: Result<(), WorkerCallError>) {
         let worker = self.worker();
         self.gate.stop_answered(self.now, &worker, run, answer);
         self.collect();
     }
 
-    /// The worker lists what runs and what ended.
-    pub fn lists(&mut self, running: Vec<(RunId, u32)>, ended: Vec<(u64, RunId, WorkerEnd)>) {
+    /// Answers a poll with running and ended runs.
+    pub fn list_runs(&mut self, running: Vec<(RunId, u32)>, ended: Vec<(u64, RunId, WorkerEnd)>) {
         let call = PollCall {
             worker: Some("w".into()),
             fence: Some(FENCE),
@@ -231,8 +231,8 @@
         self.collect();
     }
 
-    /// The worker says that the life that the gate means is not there.
-    pub fn another_life_answers(&mut self) {
+    /// Answers a poll with the error that another incarnation of the worker is present.
+    pub fn answer_other_incarnation(&mut self) {
         let call = PollCall {
             worker: Some(self.worker()),
             fence: None,
@@ -246,16 +246,16 @@
         let answer = Err(WorkerCallError::OtherIncarnation);
         let sent = self.now;
         self.gate.poll_answered(self.now, sent, &call, answer);
-        self.pass(20);
+        self.advance(20);
     }
 
-    /// The worker that orders go to.
+    /// The id of the worker that gets the orders.
     pub fn worker(&self) -> WorkerId {
-        let aims = self.actions.iter().filter_map(|action| match action {
+        let workers = self.actions.iter().filter_map(|action| match action {
             GateAction::SetWorker(worker) => Some(worker.traits.id.clone()),
             _ => None,
         });
-        aims.last().unwrap_or_else(|| "w".into())
+        workers.last().unwrap_or_else(|| "w".into())
     }
 
     pub fn ordered(&self) -> Vec<RunId> {
--- a/tests/large_fleet/gates.rs
+++ b/tests/large_fleet/gates.rs
@@ -94,7 +94,7 @@
         };
         for (at_us, answer) in std::mem::take(&mut side.answers) {
             let woken = matches!(&answer, Answer::Hold(_, call)
-                if worker.has_ended_since(call.acked_end));
+                if worker.has_end_after(call.acked_end));
             match answer {
                 answer if at_us > now.mono_us && !woken => {
                     side.answers.push_back((at_us, answer));
@@ -111,7 +111,7 @@
                         lease_until_ms: None,
                         ..call.clone()
                     };
-                    let reply = worker.hold(now.mono_us, &renewed);
+                    let reply = worker.poll(now.mono_us, &renewed);
                     side.gate.poll_answered(now, sent, &call, Ok(reply));
                 }
             }
@@ -143,7 +143,7 @@
                 }
                 GateAction::Poll(call) => {
                     let worker = &mut self.workers[index];
-                    worker.hold(now.mono_us, &call);
+                    worker.poll(now.mono_us, &call);
                     let wait_us = call.wait_ms * 1_000 + STEP_US;
                     self.answer_in(index, wait_us, Answer::Hold(now, call));
                 }
