--- a/tests/ephemeral_directory.rs
+++ b/tests/ephemeral_directory.rs
@@ -1,5 +1,5 @@
-//! Records of gates in the store: how many calls they cost, and that one that was
-//! lost is back soon. In virtual time.
+//! Records of gates in the store: the number of store calls, and how soon a lost record is
+//! written again. In virtual time.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex};
@@ -18,11 +18,11 @@
 };
 use winghold::time::Timer;
 
-/// Time that the store takes for an answer.
-const ANSWER: Duration = Duration::from_millis(4);
+/// Response time of the store.
+const RESPONSE_TIME: Duration = Duration::from_millis(4);
 
 #[derive(Default)]
-struct Held {
+struct StoreState {
     revision: u64,
     entries: BTreeMap<String, (StoreEntry, LeaseId)>,
     changes: Vec<StoreEntry>,
@@ -31,19 +31,19 @@
     calls: BTreeMap<&'static str, u32>,
     /// The next write takes effect without an answer.
     lose_write: bool,
-    /// Nothing is answered.
+    /// No call is answered.
     down: bool,
 }
 
-/// Keeps keys under leases in memory.
+/// A store with leases in memory.
 #[derive(Clone, Default)]
 struct FakeStore {
-    held: Arc<Mutex<Held>>,
+    state: Arc<Mutex<StoreState>>,
 }
 
 impl FakeStore {
     fn calls(&self, kind: &str) -> u32 {
-        self.held
+        self.state
             .lock()
             .unwrap()
             .calls
@@ -53,31 +53,31 @@
     }
 
     fn has_record(&self) -> bool {
-        !self.held.lock().unwrap().entries.is_empty()
+        !self.state.lock().unwrap().entries.is_empty()
     }
 
-    /// Ends all leases; their keys go with them, and nobody is told.
+    /// Ends all leases and removes their keys without notifying watches.
     fn revoke_all(&self) {
-        let mut held = self.held.lock().unwrap();
-        held.leases.clear();
-        held.entries.clear();
-        held.revision += 1;
+        let mut state = self.state.lock().unwrap();
+        state.leases.clear();
+        state.entries.clear();
+        state.revision += 1;
     }
 
     /// Writes the record of a gate with a worker.
-    fn write(&self, gate: &str, life: &str) {
+    fn write(&self, gate: &str, worker_id: &str) {
         let record = GateRecord {
-            worker: Some(worker(life)),
+            worker: Some(worker(worker_id)),
             ..gate_record(gate)
         };
         let value = serde_json::to_vec(&record).unwrap();
         let key = directory::gate_key(gate);
-        let mut held = self.held.lock().unwrap();
-        held.put(&key, value.into(), LeaseId(0));
+        let mut state = self.state.lock().unwrap();
+        state.put(&key, value.into(), LeaseId(0));
     }
 }
 
-impl Held {
+impl StoreState {
     fn put(&mut self, key: &str, value: bytes::Bytes, lease: LeaseId) -> u64 {
         self.revision += 1;
         let entry = StoreEntry {
@@ -151,14 +151,14 @@
 impl Store for FakeStore {
     fn call(&self, req: StoreRequest) -> StoreFuture<'_> {
         Box::pin(async move {
-            tokio::time::sleep(ANSWER).await;
+            tokio::time::sleep(RESPONSE_TIME).await;
             let StoreRequest::Watch { after, wait_ms, .. } = req else {
-                return self.held.lock().unwrap().answer(&req);
+                return self.state.lock().unwrap().answer(&req);
             };
-            let _ = self.held.lock().unwrap().answer(&req);
+            let _ = self.state.lock().unwrap().answer(&req);
             let until = tokio::time::Instant::now() + Duration::from_millis(wait_ms);
             while tokio::time::Instant::now() < until {
-                if let Some(changes) = self.held.lock().unwrap().changes_after(after) {
+                if let Some(changes) = self.state.lock().unwrap().changes_after(after) {
                     return Ok(changes);
                 }
                 tokio::time::sleep(Duration::from_millis(1)).await;
@@ -181,7 +181,7 @@
     }
 }
 
-/// What a gate with this worker publishes.
+/// Published state of a gate with this worker.
 fn published(id: &str) -> PublishedState {
     PublishedState {
         worker: Some(worker(id)),
@@ -189,7 +189,7 @@
     }
 }
 
-/// A gate that publishes its record; the sender changes it.
+/// Starts publishing the record of a gate; the sender changes its state.
 fn publish(store: &FakeStore) -> watch::Sender<PublishedState> {
     let (tx, rx) = watch::channel(published("w-1"));
     let record = gate_record("g");
@@ -199,12 +199,12 @@
     tx
 }
 
-/// The same gate starts again, and publishes what its record said.
-async fn publish_again(store: &FakeStore) -> watch::Sender<PublishedState> {
+/// Restarts the gate, which takes over the state in its record.
+async fn restart_publisher(store: &FakeStore) -> watch::Sender<PublishedState> {
     let store: Arc<dyn Store> = Arc::new(store.clone());
     let (timer, log) = (Timer::on_runtime_clock(), logging::discard());
-    let recalled = directory::read_previous(&*store, "g", &log).await;
-    let (published, before) = recalled.expect("a record");
+    let previous = directory::read_previous(&*store, "g", &log).await;
+    let (published, before) = previous.expect("a record");
     let (tx, rx) = watch::channel(published);
     let record = gate_record("g");
     tokio::spawn(directory::publish(
@@ -218,7 +218,7 @@
     tx
 }
 
-/// The record of a gate that knows no worker.
+/// The record of a gate without a worker.
 fn gate_record(name: &str) -> GateRecord {
     GateRecord {
         gate: name.into(),
@@ -238,15 +238,15 @@
     }
 }
 
-async fn pass(seconds: f64) {
+async fn advance(seconds: f64) {
     tokio::time::sleep(Duration::from_secs_f64(seconds)).await;
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_record_that_is_there_costs_little_more_than_its_renewals() {
+async fn unchanged_record_costs_little_more_than_its_renewals() {
     let store = FakeStore::default();
     let _worker = publish(&store);
-    pass(60.0).await;
+    advance(60.0).await;
     let (renewals, reads) = (store.calls("renew"), store.calls("get"));
     assert!((22..=24).contains(&renewals), "{renewals}");
     assert!(reads <= 6, "{reads}");
@@ -254,113 +254,111 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_record_whose_lease_was_taken_away_is_back_before_it_counts_as_missing() {
+async fn record_with_a_revoked_lease_is_rewritten_before_it_counts_as_missing() {
     let store = FakeStore::default();
     let _worker = publish(&store);
-    pass(5.0).await;
+    advance(5.0).await;
     store.revoke_all();
-    pass(2.8).await;
+    advance(2.8).await;
     assert!(store.has_record());
 }
 
-/// The pattern: all processes of a fleet are killed and start again. Each entry reads the
-/// records once anyway, and then hears of nothing that it has read.
+/// After a restart of the whole fleet, unchanged records must cause no further changes.
 #[tokio::test(start_paused = true)]
-async fn a_gate_that_starts_again_takes_its_record_over() {
+async fn restarted_gate_keeps_its_record() {
     let store = FakeStore::default();
     let _before = publish(&store);
-    pass(5.0).await;
-    let revision = store.held.lock().unwrap().revision;
-    let _worker = publish_again(&store).await;
-    pass(30.0).await;
-    assert_eq!(store.held.lock().unwrap().revision, revision);
+    advance(5.0).await;
+    let revision = store.state.lock().unwrap().revision;
+    let _worker = restart_publisher(&store).await;
+    advance(30.0).await;
+    assert_eq!(store.state.lock().unwrap().revision, revision);
     assert_eq!((store.calls("put"), store.calls("grant")), (1, 1));
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_record_that_vanished_with_its_lease_is_written_after_a_restart() {
+async fn expired_record_is_rewritten_after_a_restart() {
     let store = FakeStore::default();
     let _before = publish(&store);
-    pass(1.0).await;
-    let _worker = publish_again(&store).await;
+    advance(1.0).await;
+    let _worker = restart_publisher(&store).await;
     store.revoke_all();
-    pass(2.8).await;
+    advance(2.8).await;
     assert!(store.has_record());
 }
 
-/// The pattern: the store is away for a minute, and every gate of a fleet calls it. The
-/// grounds: a second call within the longest pause of 1.6 s is wanted of none, but for the
-/// first few.
+/// Except for the first few calls, a gate makes at most one call in each longest delay of
+/// 1.6 s while the store is down.
 #[tokio::test(start_paused = true)]
-async fn a_gate_calls_a_store_that_is_away_less_and_less() {
+async fn calls_to_a_store_that_is_down_back_off() {
     let store = FakeStore::default();
     let _worker = publish(&store);
-    pass(5.0).await;
+    advance(5.0).await;
     let before = store.calls("renew");
-    store.held.lock().unwrap().down = true;
-    pass(60.0).await;
+    store.state.lock().unwrap().down = true;
+    advance(60.0).await;
     let calls = store.calls("renew") - before;
     assert!(calls <= 60_000 / 1_600 + 4, "{calls}");
-    store.held.lock().unwrap().down = false;
+    store.state.lock().unwrap().down = false;
     store.revoke_all();
-    pass(1.7).await;
+    advance(1.7).await;
     assert!(store.has_record());
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_write_without_an_answer_is_read_back() {
+async fn unanswered_write_is_read_back() {
     let store = FakeStore::default();
-    store.held.lock().unwrap().lose_write = true;
+    store.state.lock().unwrap().lose_write = true;
     let _worker = publish(&store);
-    pass(1.0).await;
+    advance(1.0).await;
     assert!(store.has_record());
     assert_eq!(store.calls("get"), 2, "before the write and after it");
     assert_eq!(store.calls("put"), 1);
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_new_worker_is_written_at_once() {
+async fn new_worker_is_written_at_once() {
     let store = FakeStore::default();
     let workers = publish(&store);
-    pass(5.0).await;
+    advance(5.0).await;
     workers.send_replace(published("w-2"));
-    pass(0.1).await;
-    let held = store.held.lock().unwrap();
-    let (entry, _) = &held.entries[&directory::gate_key("g")];
+    advance(0.1).await;
+    let state = store.state.lock().unwrap();
+    let (entry, _) = &state.entries[&directory::gate_key("g")];
     assert!(String::from_utf8_lossy(&entry.value).contains("w-2"));
 }
 
-/// The pattern: all gates of a fleet start, and each writes its record twice within
-/// two seconds, without its worker and with it.
+/// When a fleet starts, each gate writes its record twice within two seconds, first without
+/// its worker.
 #[tokio::test(start_paused = true)]
-async fn records_that_come_together_wake_an_entry_a_few_times_only() {
+async fn bursts_of_record_changes_are_batched_for_an_entry() {
     let store = FakeStore::default();
     let (tx, mut rx) = unbounded_channel();
     tokio::spawn(directory::follow_gates(follower_of(&store), "e".into(), tx));
-    pass(0.1).await;
+    advance(0.1).await;
     for number in 0..480 {
         store.write(&format!("g{}", number % 240), &format!("w{number}"));
-        pass(2.0 / 480.0).await;
+        advance(2.0 / 480.0).await;
     }
     let watches = store.calls("watch");
     assert!(watches <= 12, "{watches}");
-    pass(0.5).await;
-    let told = std::iter::from_fn(|| rx.try_recv().ok());
-    let records: Vec<usize> = told.map(|changes| changes.written.len()).collect();
+    advance(0.5).await;
+    let updates = std::iter::from_fn(|| rx.try_recv().ok());
+    let records: Vec<usize> = updates.map(|changes| changes.written.len()).collect();
     assert!(records.len() <= 12, "{records:?}");
     let all: usize = records.iter().sum();
     assert!((240..=480).contains(&all), "{records:?}");
 }
 
-/// The pattern: one gate of many changes. Whoever follows them hears of that one alone; to
-/// hear of all at each change of each costs the square of the fleet when it starts.
+/// Delivering all records on every change would make a start quadratic in the number of
+/// gates.
 #[tokio::test(start_paused = true)]
-async fn a_change_of_one_record_brings_that_record_alone() {
+async fn change_of_one_record_delivers_only_that_record() {
     let store = FakeStore::default();
     (0..800).for_each(|number| store.write(&format!("g{number}"), "w"));
     let (tx, mut rx) = unbounded_channel();
     tokio::spawn(directory::follow_gates(follower_of(&store), "e".into(), tx));
-    pass(0.1).await;
+    advance(0.1).await;
     let first = rx.recv().await.unwrap();
     let rest = rx.recv().await.unwrap();
     assert_eq!(first.written.len() + rest.written.len(), 800);
@@ -369,33 +367,32 @@
     let names: Vec<&str> = changes.written.iter().map(|one| &*one.gate).collect();
     assert_eq!(names, ["g17"]);
     assert!(changes.removed.is_empty());
-    // Read anew, too: nothing has changed since.
-    pass(30.0).await;
+    // Periodic reads deliver nothing that has not changed.
+    advance(30.0).await;
     assert!(rx.try_recv().is_err());
 }
 
-/// The pattern: hundreds of entries start at once. What each has to read before it can take
-/// work is bounded, however large the fleet is; what the rest says comes later, and until
-/// then nobody says that no worker can run something.
+/// The records that an entry needs before it can admit work are bounded in number; until
+/// the others follow, the list is marked as partial.
 #[tokio::test(start_paused = true)]
-async fn an_entry_reads_a_bounded_part_of_the_records_first() {
+async fn entry_reads_a_bounded_part_of_the_records_first() {
     for gates in [11, 240, 800, 1_600, 13_473] {
         let store = FakeStore::default();
         (0..gates).for_each(|number| store.write(&format!("g{number}"), "w"));
         let (tx, mut rx) = unbounded_channel();
         tokio::spawn(directory::follow_gates(follower_of(&store), "e".into(), tx));
-        pass(0.1).await;
-        let mut told: Vec<GateChanges> = std::iter::from_fn(|| rx.try_recv().ok()).collect();
-        let first = told[0].written.len();
+        advance(0.1).await;
+        let mut updates: Vec<GateChanges> = std::iter::from_fn(|| rx.try_recv().ok()).collect();
+        let first = updates[0].written.len();
         if gates >= 512 {
-            assert!(told[0].partial, "{gates}");
+            assert!(updates[0].partial, "{gates}");
             assert!((16..=256).contains(&first), "{first} of {gates}");
         }
-        pass(5.0).await;
-        told.extend(std::iter::from_fn(|| rx.try_recv().ok()));
-        assert!(!told.last().unwrap().partial);
-        assert!(told.len() <= 2, "{gates}");
-        let all: usize = told.iter().map(|changes| changes.written.len()).sum();
-        assert_eq!(all, gates, "each once");
+        advance(5.0).await;
+        updates.extend(std::iter::from_fn(|| rx.try_recv().ok()));
+        assert!(!updates.last().unwrap().partial);
+        assert!(updates.len() <= 2, "{gates}");
+        let all: usize = updates.iter().map(|changes| changes.written.len()).sum();
+        assert_eq!(all, gates, "each record is delivered once");
     }
 }
--- a/tests/ephemeral_dispatcher.rs
+++ b/tests/ephemeral_dispatcher.rs
@@ -1,4 +1,4 @@
-//! What an entry does with the jobs that it took in.
+//! Handling of admitted jobs by the dispatcher.
 
 mod dispatcher_bench;
 
@@ -11,7 +11,7 @@
 use winghold::ephemeral::session::SessionId;
 
 #[test]
-fn a_job_is_answered_once_all_its_tasks_are_done() {
+fn job_is_answered_once_all_its_tasks_are_done() {
     let mut bench = Bench::new(2);
     bench.submit(1, job(1, 3), 0);
     assert_eq!(bench.starts.len(), 3);
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn no_more_tasks_than_allowed_go_to_one_worker() {
+fn limit_of_tasks_per_worker_is_kept() {
     let mut bench = Bench::new(2);
     let spec = JobSpec {
         constraints: Constraints {
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn a_failed_task_goes_to_another_gate_and_fails_its_job_after_its_attempts() {
+fn failed_task_is_retried_on_another_gate_and_fails_its_job_after_its_attempts() {
     let mut bench = Bench::new(2);
     bench.submit(1, job(1, 1), 0);
     bench.end_run(bench.starts[0], RunEnd::Failed);
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn a_stop_is_no_failed_attempt() {
+fn stopped_run_is_not_a_failed_attempt() {
     let mut bench = Bench::new(3);
     bench.submit(1, job(1, 1), 0);
     bench.end_run(bench.starts[0], RunEnd::Stalled);
@@ -62,17 +62,17 @@
 }
 
 #[test]
-fn a_gate_that_had_no_room_is_not_asked_again_on_its_old_load() {
+fn gate_without_room_is_not_used_again_before_its_next_load() {
     let mut bench = Bench::new(2);
     bench.submit(1, job(1, 1), 0);
     bench.end_run(bench.starts[0], RunEnd::NotRun(NotRunReason::NoRoom));
     assert_ne!(bench.starts[0].0, bench.starts[1].0);
 }
 
-/// Seed 18 of `ephemeral_safety`: numbers ran away with every turned-away start,
-/// and a job that came to another entry never caught up with them.
+/// Run numbers that grow with every refused start would leave a resent job at another entry
+/// behind for good.
 #[test]
-fn a_run_that_never_left_its_gate_uses_up_no_number_and_a_rejected_one_leaps() {
+fn unsent_run_keeps_its_number_and_a_rejected_one_skips_ahead() {
     let mut bench = Bench::new(2);
     bench.submit(1, job(1, 1), 0);
     bench.end_run(bench.starts[0], RunEnd::NotRun(NotRunReason::NoRoom));
@@ -88,10 +88,10 @@
     assert!(last > 200, "{last}");
 }
 
-/// A number may be used again at another gate, so a late word from the first must
-/// not count for the second.
+/// A run number may be used again on another gate, so a late report from the first gate
+/// must not apply to the second.
 #[test]
-fn what_one_gate_says_of_a_run_does_not_count_for_another_gate() {
+fn late_report_of_a_gate_does_not_apply_to_the_run_on_another_gate() {
     let mut bench = Bench::new(2);
     bench.submit(1, job(1, 1), 0);
     let first = bench.starts[0];
@@ -105,7 +105,7 @@
 }
 
 #[test]
-fn a_task_of_which_another_run_goes_on_is_started_nowhere() {
+fn task_with_another_run_in_progress_is_not_started() {
     let mut bench = Bench::new(2);
     bench.submit(1, job(1, 2), 0);
     let other = bench.starts[1].1;
@@ -116,10 +116,9 @@
     assert_eq!(bench.codes(), [ResultCode::OutcomeUnknown]);
 }
 
-/// Seed 3 of `ephemeral_safety` with long work: tasks far longer than their estimate
-/// were moved from worker to worker until their deadline.
+/// A task that runs far longer than its estimate must not be moved until its deadline.
 #[test]
-fn a_task_is_moved_once_for_being_slow() {
+fn slow_task_is_moved_only_once() {
     let mut bench = Bench::new(3);
     bench.submit(1, job(1, 1), 0);
     bench.end_run(bench.starts[0], RunEnd::Stalled);
@@ -138,7 +137,7 @@
 }
 
 #[test]
-fn where_every_gate_was_tried_one_of_them_is_tried_again() {
+fn gate_is_tried_again_once_all_were_tried() {
     let mut bench = Bench::new(1);
     bench.submit(1, job(1, 1), 0);
     bench.end_run(bench.starts[0], RunEnd::Stalled);
@@ -146,7 +145,7 @@
 }
 
 #[test]
-fn a_task_waits_at_a_gate_only_about_as_long_as_was_expected() {
+fn wait_at_a_gate_is_limited_by_the_expected_wait() {
     let mut bench = Bench::new(1);
     bench.load(1, load(0, 20 * MS));
     bench.submit(1, job(1, 1), 0);
@@ -161,7 +160,7 @@
 }
 
 #[test]
-fn a_job_of_which_nothing_ran_is_refused_once_what_was_sent_is_withdrawn() {
+fn job_without_a_start_is_refused_once_its_orders_are_withdrawn() {
     let mut bench = Bench::new(1);
     bench.load(1, load(0, 20 * MS));
     bench.submit(1, job(1, 2), 0);
@@ -170,7 +169,7 @@
     bench.advance(105);
     bench.dispatcher.frame_received(bench.now, SessionId(1));
     bench.end_run(bench.starts[0], RunEnd::NotRun(NotRunReason::NoRoom));
-    assert!(bench.answers.is_empty(), "the other task may have begun");
+    assert!(bench.answers.is_empty(), "the other task may have started");
     assert_eq!(bench.stops, [bench.starts[1].1]);
     bench.end_run(bench.starts[1], RunEnd::NotRun(NotRunReason::Withdrawn));
     assert_eq!(bench.codes(), [ResultCode::Overloaded]);
@@ -178,7 +177,7 @@
 }
 
 #[test]
-fn a_job_is_never_refused_after_one_of_its_tasks_began() {
+fn job_is_never_refused_after_one_of_its_tasks_started() {
     let mut bench = Bench::new(1);
     bench.submit(1, job(1, 2), 0);
     let run = bench.starts[0].1;
@@ -192,7 +191,7 @@
 }
 
 #[test]
-fn a_job_sent_again_joins_the_first_and_both_are_answered() {
+fn resent_job_joins_the_first_and_both_callers_are_answered() {
     let mut bench = Bench::new(1);
     bench.submit(1, job(1, 1), 0);
     bench.submit(2, job(1, 1), 0);
@@ -205,7 +204,7 @@
 }
 
 #[test]
-fn what_runs_for_callers_that_left_is_stopped() {
+fn runs_are_stopped_once_all_callers_left() {
     let mut bench = Bench::new(1);
     bench.submit(1, job(1, 1), 0);
     bench.submit(2, job(1, 1), 0);
@@ -222,7 +221,7 @@
 }
 
 #[test]
-fn a_job_with_runs_at_a_silent_gate_has_an_unknown_outcome() {
+fn job_with_runs_on_a_silent_gate_has_an_unknown_outcome() {
     let mut bench = Bench::new(2);
     bench.submit(1, job(1, 1), 0);
     let (session, _) = bench.starts[0];
@@ -235,7 +234,7 @@
 }
 
 #[test]
-fn a_gate_that_comes_back_in_time_is_told_what_is_open() {
+fn reconnected_gate_gets_the_open_runs() {
     let mut bench = Bench::new(1);
     bench.submit(1, job(1, 1), 0);
     bench.dispatcher.disconnected(SessionId(1));
@@ -255,10 +254,10 @@
     assert_eq!(open, Some(1));
 }
 
-/// Seed 2,975 of `ephemeral_safety`: a job that ended between the hello that claimed
-/// its run and the gate's answer left the run going.
+/// A job that ends between the hello that claims its run and the gate's answer must not
+/// leave the run in progress.
 #[test]
-fn a_claim_that_is_not_wanted_any_more_is_stopped_when_the_gate_answers() {
+fn claimed_run_of_an_ended_job_is_stopped_when_the_gate_answers() {
     let mut bench = Bench::new(1);
     bench.submit(1, job(1, 1), 0);
     bench.dispatcher.disconnected(SessionId(1));
@@ -278,7 +277,7 @@
 }
 
 #[test]
-fn nothing_is_sent_to_a_suspect_gate_but_one_probe() {
+fn suspect_gate_gets_only_one_probe() {
     let mut bench = Bench::new(3);
     let suspect = GateLoad {
         suspect: true,
@@ -296,9 +295,9 @@
     assert_eq!(probes.count(), 1);
 }
 
-/// Found by 5,000 cases of `ephemeral_safety`: the leaps overflowed.
+/// Skipped run numbers must not overflow.
 #[test]
-fn numbers_of_runs_do_not_run_out() {
+fn run_numbers_do_not_overflow() {
     let mut bench = Bench::new(2);
     bench.submit(1, job(1, 1), 0);
     for _ in 0..60 {
@@ -309,7 +308,7 @@
 }
 
 #[test]
-fn a_task_goes_to_a_fuller_worker_where_an_empty_one_is_too_slow_for_its_objective() {
+fn task_avoids_an_idle_worker_that_is_too_slow_for_its_objective() {
     let mut bench = Bench::new(2);
     let slow = GateLoad {
         slowness_percent: 250,
--- a/tests/ephemeral_entry.rs
+++ b/tests/ephemeral_entry.rs
@@ -1,4 +1,4 @@
-//! An entry around its first configuration, in virtual time.
+//! The first configuration of an entry, in virtual time.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU32, Ordering};
@@ -14,23 +14,23 @@
 use winghold::store::{Store, StoreEntry, StoreFuture, StoreReply, StoreRequest};
 use winghold::time::Timer;
 
-/// Answers reads after a while, and no watch.
-struct LateStore {
-    late: Duration,
-    /// Reads of the configuration and of the records of gates.
+/// A store that answers reads after a delay, and no watches.
+struct SlowStore {
+    delay: Duration,
+    /// Number of reads of the configuration and of the records of gates.
     reads: [AtomicU32; 2],
 }
 
-impl LateStore {
-    fn new(late: Duration) -> Arc<LateStore> {
+impl SlowStore {
+    fn new(delay: Duration) -> Arc<SlowStore> {
         let reads = Default::default();
-        Arc::new(LateStore { late, reads })
+        Arc::new(SlowStore { delay, reads })
     }
 }
 
-impl Store for LateStore {
+impl Store for SlowStore {
     fn call(&self, req: StoreRequest) -> StoreFuture<'_> {
-        let late = self.late;
+        let delay = self.delay;
         if let StoreRequest::Get { prefix } = &req {
             let [config, gates] = &self.reads;
             let reads = if prefix == "config" { config } else { gates };
@@ -40,7 +40,7 @@
             if matches!(req, StoreRequest::Watch { .. }) {
                 std::future::pending::<()>().await;
             }
-            tokio::time::sleep(late).await;
+            tokio::time::sleep(delay).await;
             let entry = StoreEntry {
                 key: "config".to_string(),
                 value: "7".into(),
@@ -55,10 +55,10 @@
     }
 }
 
-/// Reads a document that is just its version.
-struct VersionOnly;
+/// Parses a document that consists of its version only.
+struct VersionReader;
 
-impl ConfigReader for VersionOnly {
+impl ConfigReader for VersionReader {
     fn read(&self, text: &[u8]) -> Result<RouteTable> {
         Ok(RouteTable {
             version: u64::from(text[0] - b'0'),
@@ -67,7 +67,7 @@
     }
 }
 
-fn entry_with(store: Arc<LateStore>) -> EntryHandle {
+fn entry_with(store: Arc<SlowStore>) -> EntryHandle {
     let second = Duration::from_secs(1);
     let (entry, handle) = Entry::new(EntryParts {
         process: ProcessId {
@@ -77,7 +77,7 @@
         limits: Limits::new(second, second / 2, second / 20),
         store,
         config_key: "config".to_string(),
-        reader: Arc::new(VersionOnly),
+        reader: Arc::new(VersionReader),
         timer: Timer::on_runtime_clock(),
         metrics: Metrics::in_memory(Registry::default()),
         log: logging::discard(),
@@ -87,24 +87,27 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_caller_waits_a_moment_for_the_first_configuration() {
-    let handle = entry_with(LateStore::new(Duration::from_millis(15)));
+async fn caller_waits_briefly_for_the_first_configuration() {
+    let handle = entry_with(SlowStore::new(Duration::from_millis(15)));
     assert_eq!(handle.table().version, 0);
     assert_eq!(handle.wait_for_table().await.version, 7);
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_caller_is_not_held_up_by_a_store_that_is_away() {
-    let handle = entry_with(LateStore::new(Duration::from_secs(60)));
-    let asked = tokio::time::Instant::now();
+async fn caller_is_not_delayed_by_a_store_that_is_down() {
+    let handle = entry_with(SlowStore::new(Duration::from_secs(60)));
+    let called_at = tokio::time::Instant::now();
     assert_eq!(handle.wait_for_table().await.version, 0);
-    assert!(asked.elapsed() < Duration::from_millis(40), "virtual time");
+    assert!(
+        called_at.elapsed() < Duration::from_millis(40),
+        "virtual time"
+    );
 }
 
-/// A configuration may be large, and cannot vanish as records of gates do.
+/// The configuration may be large and does not expire as records of gates do.
 #[tokio::test(start_paused = true)]
-async fn records_are_read_anew_now_and_then_and_the_configuration_is_not() {
-    let store = LateStore::new(Duration::from_millis(5));
+async fn records_are_reread_periodically_and_the_configuration_is_not() {
+    let store = SlowStore::new(Duration::from_millis(5));
     let handle = entry_with(store.clone());
     handle.timer.sleep(Duration::from_secs(50)).await;
     let [config, gates] = &store.reads;
--- a/tests/ephemeral_evacuation.rs
+++ b/tests/ephemeral_evacuation.rs
@@ -1,5 +1,5 @@
-//! Failure domains that operators evacuate: nothing more is started there, by whoever has
-//! not heard of it either, and what would go there goes elsewhere.
+//! Evacuated failure domains: no new start there, and tasks are placed in the other
+//! domains.
 
 mod dispatcher_bench;
 mod gate_bench;
@@ -25,7 +25,7 @@
 const EVACUATED: RunEnd = RunEnd::NotRun(NotRunReason::Evacuated);
 
 #[test]
-fn a_gate_refuses_what_waits_and_what_comes_and_lets_run_what_runs() {
+fn evacuated_gate_refuses_queued_and_new_orders_and_keeps_running_ones() {
     let mut bench = GateBench::ready();
     bench.order(run(1), 600, 100);
     bench.answer_start(run(1), Ok(StartReply::Running));
@@ -49,18 +49,18 @@
 }
 
 #[test]
-fn a_start_without_an_answer_is_not_sent_again() {
+fn unanswered_start_is_not_repeated_after_an_evacuation() {
     let mut bench = GateBench::ready();
     bench.order(run(1), 100, 100);
     bench.gate.set_evacuated(bench.now, true);
     bench.collect();
     bench.answer_start(run(1), Err(WorkerCallError::Unanswered));
-    assert_eq!(bench.ordered(), [run(1)], "once");
-    assert_eq!(bench.stops(), [run(1)], "it is barred");
+    assert_eq!(bench.ordered(), [run(1)], "the start is sent once");
+    assert_eq!(bench.stops(), [run(1)], "the run is barred");
 }
 
 #[test]
-fn a_gate_that_starts_waits_a_moment_for_the_first_read() {
+fn starting_gate_refuses_orders_until_the_first_read_or_a_timeout() {
     let mut bench = GateBench::ready();
     bench.gate.await_evacuation_state(bench.now);
     bench.order(run(1), 100, 100);
@@ -69,7 +69,7 @@
     bench.advance(310);
     bench.gate.frame_received(bench.now, gate_bench::ENTRY);
     bench.order(run(2), 100, 100);
-    assert_eq!(bench.ordered(), [run(2)], "the store may be away");
+    assert_eq!(bench.ordered(), [run(2)], "the store may be down");
 }
 
 fn evacuated() -> GateLoad {
@@ -81,7 +81,7 @@
 }
 
 #[test]
-fn work_goes_to_the_domains_that_are_left() {
+fn tasks_are_placed_in_the_remaining_domains() {
     let mut bench = EntryBench::new(3);
     bench.load(1, evacuated());
     bench.submit(1, job(1, 4), 0);
@@ -89,13 +89,16 @@
     assert!(bench.starts.iter().all(|(session, _)| session.0 != 1));
     let start = bench.starts[0];
     bench.end_run(start, EVACUATED);
-    assert_eq!(bench.starts.len(), 5, "it goes elsewhere at once");
+    assert_eq!(
+        bench.starts.len(),
+        5,
+        "the task is placed elsewhere at once"
+    );
     assert_ne!(bench.starts[4].0, start.0);
 }
 
-/// That no failure domain is left is known: there is nothing to wait for.
 #[test]
-fn jobs_are_refused_at_once_for_now_while_all_domains_are_evacuated() {
+fn jobs_are_refused_with_a_retry_delay_while_all_domains_are_evacuated() {
     let mut bench = EntryBench::new(2);
     for gate in 1..=2 {
         bench.load(gate, evacuated());
@@ -105,7 +108,7 @@
     assert_eq!(
         bench.codes(),
         [ResultCode::Overloaded; 2],
-        "never \"never\""
+        "the refusal is temporary"
     );
     for (_, answer) in &bench.answers {
         assert_eq!(answer.effect, Effect::NotRun);
@@ -116,10 +119,10 @@
     assert_eq!(bench.starts.len(), 1);
 }
 
-/// A store that tells what it is told to, call by call; then watches wait.
-struct Script(Mutex<Vec<Result<StoreReply, StoreError>>>);
+/// A store that returns these replies in order; further calls get no answer.
+struct ScriptedStore(Mutex<Vec<Result<StoreReply, StoreError>>>);
 
-impl Store for Script {
+impl Store for ScriptedStore {
     fn call(&self, _: StoreRequest) -> StoreFuture<'_> {
         let mut script = self.0.lock().unwrap();
         if script.is_empty() {
@@ -160,10 +163,10 @@
     change(StoreChange::Removed { key })
 }
 
-/// What is told of the domain `a`, of `a` and `b`.
-async fn told(script: Vec<Result<StoreReply, StoreError>>) -> Vec<bool> {
+/// Reported states of the domain `a` of `a` and `b`.
+async fn reported_states(script: Vec<Result<StoreReply, StoreError>>) -> Vec<bool> {
     let follower = Follower {
-        store: Arc::new(Script(Mutex::new(script))),
+        store: Arc::new(ScriptedStore(Mutex::new(script))),
         timer: Timer::on_runtime_clock(),
         metrics: Metrics::none(),
         log: logging::discard(),
@@ -175,17 +178,23 @@
         max_wait: Duration::from_secs(3),
     };
     let (tx, mut rx) = unbounded_channel();
-    let tell = move |evacuated| tx.send(evacuated).is_ok();
-    let following = evacuations::follow(follower, keys, tell);
+    let on_change = move |evacuated| tx.send(evacuated).is_ok();
+    let following = evacuations::follow(follower, keys, on_change);
     let _ = tokio::time::timeout(Duration::from_secs(5), following).await;
     std::iter::from_fn(|| rx.try_recv().ok()).collect()
 }
 
 #[tokio::test(start_paused = true)]
-async fn evacuations_are_read_at_a_start_and_followed() {
-    assert_eq!(told(vec![read(&[])]).await, [false]);
-    assert_eq!(told(vec![read(&["b", "elsewhere"])]).await, [false]);
-    assert_eq!(told(vec![read(&["a", "elsewhere"])]).await, [true]);
+async fn evacuations_are_read_at_the_start_and_watched() {
+    assert_eq!(reported_states(vec![read(&[])]).await, [false]);
+    assert_eq!(
+        reported_states(vec![read(&["b", "elsewhere"])]).await,
+        [false]
+    );
+    assert_eq!(
+        reported_states(vec![read(&["a", "elsewhere"])]).await,
+        [true]
+    );
     let back_to_back = vec![
         read(&["a"]),
         removed("a"),
@@ -193,20 +202,26 @@
         change(StoreChange::Written(key("b"))),
         removed("a"),
     ];
-    assert_eq!(told(back_to_back).await, [true, false, true, true, false]);
+    assert_eq!(
+        reported_states(back_to_back).await,
+        [true, false, true, true, false]
+    );
 }
 
 #[tokio::test(start_paused = true)]
-async fn what_was_read_last_holds_through_an_outage_and_a_compaction() {
-    let away = || Err(StoreError::Unanswered);
-    let outage = vec![read(&["a"]), away(), away(), away()];
-    assert_eq!(told(outage).await, [true]);
-    let missed = vec![read(&["a"]), away(), away(), read(&["b"])];
-    assert_eq!(told(missed).await, [true, false]);
-    // A watch whose history is gone brings everything.
-    let forgotten = StoreReply::Entries {
+async fn last_state_is_kept_through_an_outage_and_a_compaction() {
+    let unanswered = || Err(StoreError::Unanswered);
+    let outage = vec![read(&["a"]), unanswered(), unanswered(), unanswered()];
+    assert_eq!(reported_states(outage).await, [true]);
+    let missed = vec![read(&["a"]), unanswered(), unanswered(), read(&["b"])];
+    assert_eq!(reported_states(missed).await, [true, false]);
+    // A watch from a compacted revision returns all entries.
+    let compacted = StoreReply::Entries {
         revision: 9,
         entries: vec![key("a")],
     };
-    assert_eq!(told(vec![read(&[]), Ok(forgotten)]).await, [false, true]);
+    assert_eq!(
+        reported_states(vec![read(&[]), Ok(compacted)]).await,
+        [false, true]
+    );
 }
--- a/tests/ephemeral_fleet/crashes.rs
+++ b/tests/ephemeral_fleet/crashes.rs
@@ -145,7 +145,7 @@
             *starts += 1;
             if *starts == EXCESS_STARTS {
                 let text = format!(
-                    "{run} started after its task had crashed {MAX_CRASHES_PER_TASK} workers"
+                    "{run} is start {EXCESS_STARTS} after its task crashed {MAX_CRASHES_PER_TASK} workers"
                 );
                 self.violations.push(text);
             }
--- a/tests/ephemeral_follower.rs
+++ b/tests/ephemeral_follower.rs
@@ -1,4 +1,4 @@
-//! Following the store through silence and failing watches, in virtual time.
+//! Following keys of the store through unanswered reads and failing watches, in virtual time.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU32, AtomicU64, Ordering};
@@ -13,16 +13,16 @@
 };
 use winghold::time::Timer;
 
-/// When a client of the store gives up a read that has no answer.
-const CALL_LIMIT: Duration = Duration::from_millis(600);
+/// Timeout of a read in the store client.
+const READ_TIMEOUT: Duration = Duration::from_millis(600);
 
-/// Answers reads but for the first `silent_reads`; watches fail or wait.
+/// A store that answers reads after the first `silent_reads`; watches fail or wait.
 struct FakeStore {
     silent_reads: u32,
     watches_fail: bool,
     reads: AtomicU32,
     watches: AtomicU32,
-    /// Longest wait that a watch asked for, in milliseconds.
+    /// Longest wait requested by a watch.
     longest_wait_ms: AtomicU64,
 }
 
@@ -66,7 +66,7 @@
                 std::future::pending::<()>().await;
             }
             if silent {
-                tokio::time::sleep(CALL_LIMIT).await;
+                tokio::time::sleep(READ_TIMEOUT).await;
                 return Err(StoreError::Unanswered);
             }
             Ok(StoreReply::Entries {
@@ -77,13 +77,13 @@
     }
 }
 
-/// Follows the store for `span`; returns how often entries were told.
-async fn told_within(store: Arc<dyn Store>, span: Duration) -> usize {
-    entries_told_within(store, span).await.len()
+/// Follows the store for `span`; returns the number of updates.
+async fn count_updates(store: Arc<dyn Store>, span: Duration) -> usize {
+    collect_updates(store, span).await.len()
 }
 
-/// Follows the store for `span`; returns the entries that were told.
-async fn entries_told_within(store: Arc<dyn Store>, span: Duration) -> Vec<Vec<StoreEntry>> {
+/// Follows the store for `span`; returns the entries of each update.
+async fn collect_updates(store: Arc<dyn Store>, span: Duration) -> Vec<Vec<StoreEntry>> {
     let (tx, mut rx) = unbounded_channel();
     let follower = Follower {
         store,
@@ -91,57 +91,59 @@
         metrics: Metrics::none(),
         log: logging::discard(),
     };
-    let tell = move |entries: Vec<StoreEntry>| tx.send(entries).is_ok();
+    let on_change = move |entries: Vec<StoreEntry>| tx.send(entries).is_ok();
     let keys = WatchedKeys {
         prefix: "k",
         label: "test",
         leased: true,
         max_wait: WATCH_TIMEOUT,
     };
-    let _ = tokio::time::timeout(span, follower.follow(&keys, tell)).await;
+    let _ = tokio::time::timeout(span, follower.follow(&keys, on_change)).await;
     std::iter::from_fn(|| rx.try_recv().ok()).collect()
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_first_read_without_an_answer_holds_nothing_up() {
+async fn unanswered_first_read_causes_no_delay() {
     let store = FakeStore::new(1, false);
-    assert_eq!(told_within(store, Duration::from_millis(100)).await, 1);
+    assert_eq!(count_updates(store, Duration::from_millis(100)).await, 1);
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_store_that_stays_silent_gets_few_reads() {
+async fn store_that_never_answers_gets_few_reads() {
     let store = FakeStore::new(u32::MAX, false);
-    assert_eq!(told_within(store.clone(), Duration::from_secs(9)).await, 0);
+    assert_eq!(
+        count_updates(store.clone(), Duration::from_secs(9)).await,
+        0
+    );
     let reads = store.reads.load(Ordering::Relaxed);
     assert!((20..35).contains(&reads), "{reads} reads");
 }
 
 #[tokio::test(start_paused = true)]
-async fn watches_that_fail_at_once_are_not_repeated_at_once() {
+async fn failed_watches_are_not_repeated_at_once() {
     let store = FakeStore::new(0, true);
-    told_within(store.clone(), Duration::from_secs(9)).await;
+    count_updates(store.clone(), Duration::from_secs(9)).await;
     let watches = store.watches.load(Ordering::Relaxed);
     assert!(watches < 35, "{watches} watches");
 }
 
-/// A watch that a silent store never answers must be over before a change that is
-/// made after the outage has to be in force: 3 s in touch and 2 s for the change.
+/// An unanswered watch must end before a change made after the outage is due, which is 5 s
+/// after the store is reachable again.
 #[tokio::test(start_paused = true)]
-async fn a_watch_does_not_outlast_an_outage_by_much() {
+async fn watch_ends_soon_after_an_outage() {
     let store = FakeStore::new(0, false);
-    told_within(store.clone(), Duration::from_secs(1)).await;
+    count_updates(store.clone(), Duration::from_secs(1)).await;
     let wait_ms = store.longest_wait_ms.load(Ordering::Relaxed);
     assert!((1..=4_000).contains(&wait_ms), "{wait_ms} ms");
 }
 
-/// Answers reads over a narrow link that the reads under way share.
+/// A store behind a narrow link that concurrent reads share.
 struct NarrowStore {
-    under_way: AtomicU32,
+    reads_in_progress: AtomicU32,
 }
 
-/// How long a read takes by itself, in milliseconds: a document of a megabyte,
-/// in base64, at 25 Mbit/s.
-const READ_MS: u32 = 450;
+/// Time of a single read: a document of a megabyte, in base64, at 25 Mbit/s.
+const READ_TIME_MS: u32 = 450;
 
 impl Store for NarrowStore {
     fn call(&self, req: StoreRequest) -> StoreFuture<'_> {
@@ -149,11 +151,11 @@
             if matches!(req, StoreRequest::Watch { .. }) {
                 std::future::pending::<()>().await;
             }
-            let read = UnderWay::new(&self.under_way);
-            let mut left_ms = f64::from(READ_MS);
-            while left_ms > 0.0 {
+            let read = ReadInProgress::new(&self.reads_in_progress);
+            let mut remaining_ms = f64::from(READ_TIME_MS);
+            while remaining_ms > 0.0 {
                 tokio::time::sleep(Duration::from_millis(1)).await;
-                left_ms -= 1.0 / read.sharers();
+                remaining_ms -= 1.0 / read.concurrent_reads();
             }
             Ok(StoreReply::Entries {
                 revision: 1,
@@ -163,38 +165,37 @@
     }
 }
 
-/// Counts a read for as long as it is not given up.
-struct UnderWay<'a>(&'a AtomicU32);
+/// Counts a read until it ends or is cancelled.
+struct ReadInProgress<'a>(&'a AtomicU32);
 
-impl UnderWay<'_> {
-    fn new(count: &AtomicU32) -> UnderWay<'_> {
+impl ReadInProgress<'_> {
+    fn new(count: &AtomicU32) -> ReadInProgress<'_> {
         count.fetch_add(1, Ordering::Relaxed);
-        UnderWay(count)
+        ReadInProgress(count)
     }
 
-    fn sharers(&self) -> f64 {
+    fn concurrent_reads(&self) -> f64 {
         f64::from(self.0.load(Ordering::Relaxed))
     }
 }
 
-impl Drop for UnderWay<'_> {
+impl Drop for ReadInProgress<'_> {
     fn drop(&mut self) {
         self.0.fetch_sub(1, Ordering::Relaxed);
     }
 }
 
-/// Reads were repeated side by side however many were under way: on a narrow link
-/// each repeat took its share from those before it.
+/// Concurrent repeats on a narrow link would slow down each other and the first read.
 #[tokio::test(start_paused = true)]
-async fn repeats_do_not_take_the_link_from_a_read_that_lasts() {
+async fn repeats_do_not_slow_down_a_long_read() {
     let store = Arc::new(NarrowStore {
-        under_way: AtomicU32::new(0),
+        reads_in_progress: AtomicU32::new(0),
     });
-    let span = Duration::from_millis(u64::from(3 * READ_MS));
-    assert_eq!(told_within(store, span).await, 1);
+    let span = Duration::from_millis(u64::from(3 * READ_TIME_MS));
+    assert_eq!(count_updates(store, span).await, 1);
 }
 
-/// Changes a key every second, and takes another away without telling anyone.
+/// A store that changes a key every second and removes another without notifying watches.
 struct ForgetfulStore {
     reads: AtomicU32,
     changes: AtomicU32,
@@ -237,29 +238,29 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn what_no_watch_ever_told_is_found_by_reading_anew() {
+async fn change_missed_by_watches_is_found_by_a_periodic_read() {
     let store = Arc::new(ForgetfulStore {
         reads: AtomicU32::new(0),
         changes: AtomicU32::new(0),
     });
-    let told = entries_told_within(store.clone(), Duration::from_secs(60)).await;
-    let sizes: Vec<usize> = told.iter().map(Vec::len).collect();
+    let updates = collect_updates(store.clone(), Duration::from_secs(60)).await;
+    let sizes: Vec<usize> = updates.iter().map(Vec::len).collect();
     assert_eq!(sizes.first(), Some(&2));
-    assert_eq!(sizes.last(), Some(&1), "the key that is gone is forgotten");
+    assert_eq!(sizes.last(), Some(&1), "the removed key is dropped");
     let reads = store.reads.load(Ordering::Relaxed);
     assert!((2..=4).contains(&reads), "{reads} reads");
     assert!(
         store.changes.load(Ordering::Relaxed) >= 55,
-        "it goes on watching"
+        "watching continues"
     );
 }
 
-/// Answers every read after a while, with the same entry, and no watch.
-struct LastingStore {
+/// A store that answers reads with the same entry after a delay, and fails watches.
+struct SlowStore {
     reads: AtomicU32,
 }
 
-impl Store for LastingStore {
+impl Store for SlowStore {
     fn call(&self, req: StoreRequest) -> StoreFuture<'_> {
         if matches!(req, StoreRequest::Watch { .. }) {
             return Box::pin(async { Err(StoreError::Unanswered) });
@@ -276,12 +277,12 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_read_is_repeated_only_when_it_lasts_longer_than_usual() {
-    let store = Arc::new(LastingStore {
+async fn read_is_repeated_only_if_it_takes_longer_than_usual() {
+    let store = Arc::new(SlowStore {
         reads: AtomicU32::new(0),
     });
-    let told = told_within(store.clone(), Duration::from_secs(10)).await;
-    assert_eq!(told, 1, "nothing changed since");
+    let updates = count_updates(store.clone(), Duration::from_secs(10)).await;
+    assert_eq!(updates, 1, "only the first read is an update");
     let reads = store.reads.load(Ordering::Relaxed);
     assert!(
         (15..=25).contains(&reads),
--- a/tests/ephemeral_safety.rs
+++ b/tests/ephemeral_safety.rs
@@ -207,7 +207,7 @@
     /// Its wall clock was put back meanwhile.
     RestartEarlier(u8, u8),
     /// It is down for a while; its connections are reset, or it falls silent.
-    Outage(u8, u8, bool),
+    Down(u8, u8, bool),
     LateReport(u8),
     LateDeparture(u8),
 }
@@ -220,7 +220,7 @@
         Lives::RestartEarlier(which, by) => {
             fleet.restart_worker(pick(which), u64::from(by) * 40);
         }
-        Lives::Outage(which, length, refuses) => {
+        Lives::Down(which, length, refuses) => {
             let down = match refuses {
                 true => Outage::Refuses,
                 false => Outage::Silent,
