--- a/tests/ephemeral_config_exchange.rs
+++ b/tests/ephemeral_config_exchange.rs
@@ -210,7 +210,7 @@
 }
 
 /// The load of a gate that has received all orders.
-fn seen() -> GateLoad {
+fn idle_load() -> GateLoad {
     GateLoad {
         seen: u64::MAX,
         ..load(1_000, 0)
@@ -224,9 +224,9 @@
     let at: Vec<u64> = bench.starts.iter().map(|(session, _)| session.0).collect();
     assert!(at.contains(&1) && at.contains(&2), "{at:?}");
     for turn in 0..100 {
-        bench.load(1, seen());
+        bench.load(1, idle_load());
         if turn < 75 {
-            bench.load(2, seen());
+            bench.load(2, idle_load());
         }
         bench.advance(10);
     }
--- a/tests/ephemeral_fleet/orders.rs
+++ b/tests/ephemeral_fleet/orders.rs
@@ -15,7 +15,7 @@
     }
 
     /// Draws whether the answer to an order is lost, and when the order is carried out.
-    pub(super) fn draw_order_fate(&mut self, index: usize) -> (bool, Option<u64>) {
+    pub(super) fn draw_delivery(&mut self, index: usize) -> (bool, Option<u64>) {
         let worker = &self.workers[index];
         if !worker.up || worker.unresponsive_until_us > self.now_us {
             return (true, None);
@@ -50,7 +50,7 @@
             self.queue_answer(index, at_us, answer);
             return;
         }
-        let (lost, at_us) = self.draw_order_fate(index);
+        let (lost, at_us) = self.draw_delivery(index);
         if lost {
             if let Some(at_us) = at_us {
                 self.late.push((at_us, LateOrder::Start(index, call)));
@@ -79,7 +79,7 @@
             self.queue_answer(index, at_us, answer);
             return;
         }
-        let (lost, at_us) = self.draw_order_fate(index);
+        let (lost, at_us) = self.draw_delivery(index);
         if let (true, Some(at_us)) = (lost, at_us) {
             self.late
                 .push((at_us, LateOrder::Stop(index, call.clone())));
@@ -99,7 +99,7 @@
     }
 
     pub(super) fn send_poll(&mut self, index: usize, call: PollCall) {
-        let (lost, _) = self.draw_order_fate(index);
+        let (lost, _) = self.draw_delivery(index);
         if !lost && self.workers[index].is_addressed_by(&call) {
             // The lease is renewed on arrival, the lists are taken when the answer is sent.
             let renewal = PollCall {
