--- a/tests/ephemeral_gate.rs
+++ b/tests/ephemeral_gate.rs
@@ -1,4 +1,5 @@
-//! The gate beside a worker: runs, sessions and what the worker lists.
+//! The gate of a worker: run starts and ends, entry sessions, and reconciliation with the
+//! worker's run list.
 
 mod gate_bench;
 
@@ -9,7 +10,7 @@
 use winghold::ephemeral::worker::{PollCall, PollReply, StartReply, WorkerCallError, WorkerEnd};
 
 #[test]
-fn what_fits_is_ordered_and_the_rest_waits() {
+fn runs_beyond_worker_capacity_wait() {
     let mut bench = Bench::ready();
     bench.order(run(1), 600, 100);
     bench.order(run(2), 600, 100);
@@ -21,7 +22,7 @@
 }
 
 #[test]
-fn a_full_gate_turns_away_at_once_who_does_not_wait() {
+fn full_gate_rejects_a_run_without_patience_at_once() {
     let mut bench = Bench::ready();
     bench.order(run(1), 600, 100);
     bench.order(run(2), 600, 0);
@@ -32,7 +33,7 @@
 }
 
 #[test]
-fn who_waited_too_long_never_began() {
+fn run_that_exceeds_its_patience_is_not_started() {
     let mut bench = Bench::ready();
     bench.order(run(1), 600, 100);
     bench.order(run(2), 600, 50);
@@ -42,7 +43,7 @@
 }
 
 #[test]
-fn an_unanswered_start_keeps_its_room_until_it_is_barred_and_listed() {
+fn unanswered_start_keeps_its_capacity_until_it_is_barred_and_not_listed() {
     let mut bench = Bench::ready();
     bench.order(run(1), 600, 100);
     bench.order(run(2), 600, 400);
@@ -64,7 +65,7 @@
 }
 
 #[test]
-fn a_lost_order_is_sent_again_to_the_same_worker() {
+fn unanswered_start_is_retried_on_the_same_worker() {
     let mut bench = Bench::ready();
     bench.order(run(1), 600, 100);
     bench.started(run(1), Err(WorkerCallError::Unanswered));
@@ -75,10 +76,9 @@
     assert_eq!(bench.ends(), [(run(1), RunEnd::Done)]);
 }
 
-/// Seed 615 of `ephemeral_safety`: a gate that had been frozen heard of the missing
-/// answer before it noticed that the entry was given up, and ordered the run anew.
+/// The gate may learn of the missing answer before it notices that the entry timed out.
 #[test]
-fn a_gate_that_stood_still_does_not_send_an_order_again() {
+fn gate_that_was_suspended_does_not_retry_a_start() {
     let mut bench = Bench::ready();
     bench.order(run(1), 600, 100);
     bench.now.mono_us += 2_000 * MS;
@@ -86,10 +86,10 @@
     assert_eq!(bench.ordered(), [run(1)]);
 }
 
-/// The first copy of an order may have run and ended while its answer was lost; the
-/// second is turned down then, which must not count as not run.
+/// The first copy of a start call may have run and ended while its answer was lost, so the
+/// rejection of the second copy must not count as not run.
 #[test]
-fn a_second_copy_that_is_turned_down_does_not_say_that_the_first_never_ran() {
+fn rejected_retry_does_not_report_the_first_start_as_not_run() {
     let mut bench = Bench::ready();
     bench.order(run(1), 600, 100);
     bench.started(run(1), Err(WorkerCallError::Unanswered));
@@ -100,7 +100,7 @@
 }
 
 #[test]
-fn a_start_whose_answer_was_lost_goes_on_if_the_list_shows_it() {
+fn unanswered_start_continues_if_the_worker_lists_it() {
     let mut bench = Bench::ready();
     bench.order(run(1), 600, 100);
     bench.lists(vec![(run(1), 10)], Vec::new());
@@ -111,7 +111,7 @@
 }
 
 #[test]
-fn a_stop_that_is_not_answered_is_sent_again_at_once() {
+fn stop_that_times_out_is_retried_at_once() {
     let mut bench = Bench::ready();
     bench.order(run(1), 600, 100);
     bench.started(run(1), Ok(StartReply::Running));
@@ -123,9 +123,9 @@
     assert_eq!(bench.stops(), [run(1), run(1)]);
 }
 
-/// The next one would break off as well, and each is a dial.
+/// An immediate retry would fail as well, and each attempt opens a connection.
 #[test]
-fn a_stop_that_broke_off_is_sent_again_after_a_while() {
+fn stop_with_a_broken_connection_is_retried_after_a_delay() {
     let mut bench = Bench::ready();
     bench.order(run(1), 600, 100);
     bench.started(run(1), Ok(StartReply::Running));
@@ -140,7 +140,7 @@
 }
 
 #[test]
-fn the_runs_of_a_silent_entry_are_stopped() {
+fn runs_of_a_silent_entry_are_stopped() {
     let mut bench = Bench::ready();
     bench.order(run(1), 600, 100);
     bench.started(run(1), Ok(StartReply::Running));
@@ -156,7 +156,7 @@
 }
 
 #[test]
-fn an_entry_that_comes_back_in_time_keeps_its_runs() {
+fn entry_that_reconnects_in_time_keeps_its_runs() {
     let mut bench = Bench::ready();
     bench.order(run(1), 600, 100);
     bench.started(run(1), Ok(StartReply::Running));
@@ -173,7 +173,7 @@
 }
 
 #[test]
-fn what_a_returning_entry_does_not_name_is_stopped() {
+fn runs_that_a_reconnected_entry_does_not_claim_are_stopped() {
     let mut bench = Bench::ready();
     bench.order(run(1), 600, 100);
     bench.started(run(1), Ok(StartReply::Running));
@@ -183,21 +183,27 @@
 }
 
 #[test]
-fn a_new_gate_takes_nothing_before_the_runs_it_found_are_claimed_or_over() {
+fn new_gate_starts_no_run_before_existing_runs_are_claimed_or_ended() {
     let mut bench = Bench::unlisted();
     bench.lists(vec![(run(7), 30)], Vec::new());
     bench.hello(Vec::new());
     bench.order(run(1), 100, 2_000);
     assert!(bench.ordered().is_empty());
     bench.pass(200);
-    assert!(bench.stops().is_empty(), "its entry may still come");
+    assert!(
+        bench.stops().is_empty(),
+        "the entry of the run may still reconnect"
+    );
     let renewals = bench
         .actions
         .iter()
         .filter(|action| matches!(action, GateAction::Poll(call) if call.lease_until_ms.is_some()));
-    // Seed 3,059 of `ephemeral_safety`: gates that died one after the other each
-    // prolonged a run whose entry was gone.
-    assert_eq!(renewals.count(), 0, "an orphan is not prolonged");
+    // Otherwise successive gates could each extend a run whose entry is gone.
+    assert_eq!(
+        renewals.count(),
+        0,
+        "the lease of an unclaimed run is not renewed"
+    );
     bench.gate.frame_received(bench.now, ENTRY);
     bench.pass(200);
     assert_eq!(bench.stops(), [run(7)]);
@@ -206,7 +212,7 @@
 }
 
 #[test]
-fn a_new_gate_gives_a_claimed_run_back_to_its_entry() {
+fn new_gate_reports_the_end_of_a_claimed_run_to_its_entry() {
     let mut bench = Bench::unlisted();
     bench.lists(vec![(run(7), 30)], Vec::new());
     let open = OpenRun {
@@ -217,14 +223,17 @@
     };
     bench.hello(vec![open]);
     bench.order(run(1), 600, 300);
-    assert!(bench.ordered().is_empty(), "the claimed run holds its room");
+    assert!(
+        bench.ordered().is_empty(),
+        "the claimed run keeps its capacity"
+    );
     bench.lists(Vec::new(), vec![(1, run(7), WorkerEnd::Done)]);
     assert_eq!(bench.ends(), [(run(7), RunEnd::Done)]);
     assert_eq!(bench.ordered(), [run(1)]);
 }
 
-/// What becomes of a claimed run that the worker does not list, if it was sent to
-/// the gate's life `sent_to`; the present one is 1.
+/// The end of a claimed run that the worker does not list and that was sent to the gate
+/// incarnation `sent_to`; the current incarnation is 1.
 fn end_of_missing_claim(sent_to: u64) -> RunEnd {
     let mut bench = Bench::unlisted();
     let open = OpenRun {
@@ -246,22 +255,21 @@
 }
 
 #[test]
-fn a_claimed_run_that_is_not_listed_is_barred_before_it_counts_as_not_run() {
+fn unlisted_claimed_run_is_barred_before_it_counts_as_not_run() {
     let end = RunEnd::NotRun(NotRunReason::Unanswered);
     assert_eq!(end_of_missing_claim(1), end);
 }
 
-/// Seed 323 of `ephemeral_safety`: a run that an earlier life of the gate had begun
-/// was said not to have run, and its job was refused.
+/// A run that an earlier incarnation of the gate may have started must not be reported as
+/// not run.
 #[test]
-fn a_claimed_run_of_an_earlier_gate_may_have_run() {
+fn unlisted_run_of_an_earlier_gate_incarnation_counts_as_possibly_run() {
     assert_eq!(end_of_missing_claim(9), RunEnd::Stopped);
 }
 
-/// Found by 6,000 cases of `ephemeral_safety`: the end of an earlier run of the same name
-/// ended a run that still waited, and left it in the queue.
+/// An earlier run may have had the same ID.
 #[test]
-fn the_end_of_an_earlier_run_of_that_name_does_not_end_one_that_waits() {
+fn end_of_an_earlier_run_with_the_same_id_does_not_end_a_waiting_run() {
     let mut bench = Bench::ready();
     bench.order(run(1), 600, 500);
     bench.order(run(2), 600, 500);
@@ -273,7 +281,7 @@
 }
 
 #[test]
-fn a_task_that_is_here_already_is_not_started_for_another_entry() {
+fn task_that_already_runs_is_not_started_again() {
     let mut bench = Bench::ready();
     bench.order(run(1), 100, 100);
     let second = RunId { run: 2, ..run(1) };
@@ -283,7 +291,7 @@
 }
 
 #[test]
-fn a_run_that_stands_still_is_stopped_and_named_stalled() {
+fn run_without_progress_is_stopped_as_stalled() {
     let mut bench = Bench::ready();
     bench.order(run(1), 600, 100);
     bench.started(run(1), Ok(StartReply::Running));
@@ -297,10 +305,10 @@
     assert_eq!(bench.ends(), [(run(1), RunEnd::Stalled)]);
 }
 
-/// Workers tell whole percents: a run of 10 s makes one in 100 ms, and one that was
-/// guessed too short in several times that.
+/// Workers report progress in whole percents, so a long run with a low estimate reports no
+/// progress for several hundred milliseconds.
 #[test]
-fn a_very_long_run_is_not_taken_for_standing_still_between_two_percents() {
+fn very_long_run_is_not_stalled_between_two_percents() {
     let mut bench = Bench::ready();
     bench.expected_us = 10_000 * MS;
     bench.order(run(1), 600, 100);
@@ -316,7 +324,7 @@
 }
 
 #[test]
-fn a_long_run_that_gets_on_is_left_alone() {
+fn long_run_with_progress_is_not_stopped() {
     let mut bench = Bench::ready();
     bench.order(run(1), 600, 100);
     bench.started(run(1), Ok(StartReply::Running));
@@ -329,7 +337,7 @@
 }
 
 #[test]
-fn runs_on_a_worker_that_turned_slow_are_moved_before_they_end() {
+fn runs_on_a_slow_worker_are_stopped_before_they_end() {
     let mut bench = Bench::ready();
     let runs = [run(1), run(2), run(3)];
     for run in runs {
@@ -351,7 +359,7 @@
 }
 
 #[test]
-fn one_run_that_was_guessed_too_short_does_not_make_its_worker_slow() {
+fn one_underestimated_run_does_not_mark_its_worker_slow() {
     let mut bench = Bench::ready();
     bench.order(run(1), 100, 100);
     bench.started(run(1), Ok(StartReply::Running));
@@ -363,10 +371,9 @@
     assert!(bench.stops().is_empty());
 }
 
-/// Seed 4,411 of `ephemeral_safety`: a start of an earlier gate, carried out late,
-/// took the worker beyond its capacity.
+/// A late start call of an earlier gate must not exceed the worker's capacity.
 #[test]
-fn orders_carry_a_token_that_rises_with_each_life_of_the_gate() {
+fn start_calls_carry_the_fencing_token_of_the_gate() {
     let mut bench = Bench::ready();
     bench.order(run(1), 100, 100);
     let fence = bench.actions.iter().find_map(|action| match action {
@@ -377,7 +384,7 @@
 }
 
 #[test]
-fn lists_count_only_under_the_token() {
+fn fenced_run_list_is_ignored() {
     let mut bench = Bench::unlisted();
     bench.hello(Vec::new());
     bench.order(run(1), 100, 300);
@@ -408,10 +415,9 @@
     assert_eq!(next, Some(Some(9_001)));
 }
 
-/// Seed 2,059 of `ephemeral_safety`: the first list made a run go on that its entry
-/// had claimed and then stopped, before the worker was known.
+/// The entry may claim a run and stop it before the worker is known.
 #[test]
-fn a_claim_that_was_withdrawn_before_the_lists_came_is_stopped() {
+fn run_stopped_before_the_first_run_list_is_stopped_at_the_worker() {
     let mut bench = Bench::unlisted();
     let open = OpenRun {
         run: run(7),
@@ -431,7 +437,7 @@
 }
 
 #[test]
-fn a_run_that_was_moved_before_stays_on_a_slow_worker() {
+fn run_that_is_not_movable_stays_on_a_slow_worker() {
     let mut bench = Bench::ready();
     bench.movable = false;
     let runs = [run(1), run(2), run(3)];
@@ -448,7 +454,7 @@
 }
 
 #[test]
-fn an_urgent_run_goes_before_those_that_wait_longer() {
+fn urgent_run_starts_before_runs_that_wait_longer() {
     let mut bench = Bench::ready();
     bench.order(run(1), 1_000, 500);
     bench.started(run(1), Ok(StartReply::Running));
@@ -459,7 +465,7 @@
 }
 
 #[test]
-fn less_urgent_runs_leave_the_room_that_an_urgent_one_waits_for() {
+fn less_urgent_runs_do_not_take_capacity_an_urgent_run_waits_for() {
     let mut bench = Bench::ready();
     bench.order(run(1), 600, 500);
     bench.started(run(1), Ok(StartReply::Running));
@@ -471,7 +477,7 @@
 }
 
 #[test]
-fn the_load_tells_what_waits_ahead_of_an_urgent_run() {
+fn load_reports_the_queue_ahead_of_each_priority() {
     let mut bench = Bench::ready();
     bench.order(run(1), 1_000, 500);
     bench.order(run(2), 400, 500);
--- a/tests/ephemeral_gate_turns.rs
+++ b/tests/ephemeral_gate_turns.rs
@@ -1,4 +1,4 @@
-//! When a gate tells entries its load, and how long it may sleep.
+//! When a gate sends its load to entries, and how long its loop may pause.
 
 mod gate_bench;
 
@@ -7,10 +7,9 @@
 use winghold::ephemeral::message::ToEntry;
 use winghold::ephemeral::worker::StartReply;
 
-/// A start that waits for room is confirmed soon: its entry would take the connection for
-/// dead otherwise, and dial again.
+/// Without a confirmation the entry would consider the connection dead and dial again.
 #[test]
-fn a_start_that_waits_for_room_is_confirmed_within_two_turns() {
+fn queued_start_is_confirmed_within_two_ticks() {
     let mut bench = Bench::ready();
     bench.order(run(1), 1_000, 0);
     bench.started(run(1), Ok(StartReply::Running));
@@ -22,8 +21,8 @@
     assert_eq!(bench.last_load().seen, 2);
 }
 
-/// Loads that went to an entry besides what it was told anyway.
-fn loads_alone(bench: &Bench) -> usize {
+/// Number of load messages sent to entries.
+fn load_messages(bench: &Bench) -> usize {
     let loads = bench.actions.iter().filter(|action| {
         matches!(
             action,
@@ -37,7 +36,7 @@
 }
 
 #[test]
-fn an_entry_without_work_is_told_the_load_rarely() {
+fn idle_entry_receives_the_load_rarely() {
     let mut bench = Bench::ready();
     bench.pass(10);
     bench.actions.clear();
@@ -45,12 +44,12 @@
         bench.gate.frame_received(bench.now, ENTRY);
         bench.pass(10);
     }
-    let loads = loads_alone(&bench);
+    let loads = load_messages(&bench);
     assert!((2..=3).contains(&loads), "{loads} in 3 s");
 }
 
 #[test]
-fn a_gate_waits_for_events_and_for_what_is_due() {
+fn pause_is_shorter_while_a_load_is_due() {
     let mut bench = Bench::ready();
     bench.pass(10);
     assert_eq!(bench.gate.longest_pause(bench.now).as_millis(), 50);
@@ -62,9 +61,8 @@
     assert_eq!(bench.gate.longest_pause(bench.now).as_millis(), 10);
 }
 
-/// The runs of an entry that falls silent are stopped on time, whatever else happens.
 #[test]
-fn a_gate_wakes_up_when_an_entry_falls_silent() {
+fn runs_of_a_silent_entry_are_stopped_on_time() {
     let mut bench = Bench::ready();
     bench.order(run(1), 1_000, 0);
     bench.started(run(1), Ok(StartReply::Running));
--- a/tests/ephemeral_large_config.rs
+++ b/tests/ephemeral_large_config.rs
@@ -1,14 +1,5 @@
-//! A configuration of many routes on entries with narrow links.
-//!
-//! Seen: a configuration of 1,400 routes was acknowledged, and from then on hardly
-//! a job was served; entries went on serving routes of an older configuration for
-//! more than 3 s. How: each entry sent the whole document to each gate, on the
-//! connection that carries heartbeats and orders, and again with each new session.
-//! On 25 Mbit/s that is seconds of the link; heartbeats behind it came late, the
-//! sessions ended before the document had come, and the next ones began with it
-//! again. The store's answers waited in the same queue. Proved by a run in which only
-//! this was changed: of what callers were owed 0.996 was served in place of 0.133, and
-//! no request met an older configuration in place of 69.
+//! A large configuration on entries with narrow links must not delay heartbeats so much that
+//! sessions end, and must reach every entry in time.
 
 mod narrow_links;
 
@@ -17,50 +8,51 @@
 use narrow_links::Machines;
 use winghold::ephemeral::message::ConfigDocument;
 
-/// Entries, as many as a deployment in four failure domains has at least.
 const ENTRIES: usize = 4;
-/// Gates, a third of the number on a larger deployment.
 const GATES: usize = 24;
-/// Size of a document of 2,800 routes.
-const BYTES: usize = 500_000;
-/// Longest time from the acknowledgement of a configuration until it is in force.
-const IN_FORCE: Duration = Duration::from_secs(3);
+/// Size of the configuration document.
+const CONFIG_BYTES: usize = 500_000;
+/// Maximum time from reading a configuration in the store until every entry applies it.
+const APPLY_TIMEOUT: Duration = Duration::from_secs(3);
 
-fn large(version: u64) -> ConfigDocument {
+fn large_config(version: u64) -> ConfigDocument {
     ConfigDocument {
         version,
-        text: vec![b'x'; BYTES].into(),
+        text: vec![b'x'; CONFIG_BYTES].into(),
     }
 }
 
-fn connected() -> Machines {
+fn connected_fleet() -> Machines {
     let mut machines = Machines::new(ENTRIES, GATES);
     machines.run_for(Duration::from_secs(1));
-    assert_eq!(machines.ended, 0, "calm before the change");
+    assert_eq!(machines.ended, 0, "no session ended before the change");
     machines
 }
 
 #[test]
-fn a_large_configuration_does_not_hold_up_heartbeats() {
-    let mut machines = connected();
+fn large_configuration_does_not_delay_heartbeats() {
+    let mut machines = connected_fleet();
     let before = machines.sent(0);
     for entry in 0..ENTRIES {
-        machines.read(entry, large(2));
+        machines.read(entry, large_config(2));
     }
-    machines.run_for(IN_FORCE);
-    assert_eq!(machines.ended, 0, "sessions ended");
+    machines.run_for(APPLY_TIMEOUT);
+    assert_eq!(machines.ended, 0, "no session ended");
     let sent = machines.sent(0) - before;
-    assert!(sent < BYTES, "{sent} bytes, though every entry has it");
+    assert!(
+        sent < CONFIG_BYTES,
+        "{sent} bytes sent, though every entry has the document"
+    );
 }
 
 #[test]
-fn an_entry_that_cannot_read_the_store_gets_a_large_configuration_from_others() {
-    let mut machines = connected();
+fn entry_without_the_store_gets_a_large_configuration_from_gates() {
+    let mut machines = connected_fleet();
     for entry in 1..ENTRIES {
-        machines.read(entry, large(2));
+        machines.read(entry, large_config(2));
     }
-    machines.run_for(IN_FORCE);
+    machines.run_for(APPLY_TIMEOUT);
     let version = machines.in_force(0).map(|(version, _)| version);
-    assert_eq!(version, Some(2), "in the entry that was not told");
-    assert_eq!(machines.ended, 0, "sessions ended");
+    assert_eq!(version, Some(2), "in the entry that cannot read the store");
+    assert_eq!(machines.ended, 0, "no session ended");
 }
--- a/tests/ephemeral_losses.rs
+++ b/tests/ephemeral_losses.rs
@@ -1,4 +1,4 @@
-//! Losses of workers: what a gate tells of them, and what an entry makes of that.
+//! Worker losses: how a gate reports them and how an entry gives up tasks because of them.
 
 mod dispatcher_bench;
 mod gate_bench;
@@ -18,7 +18,7 @@
 use winghold::ephemeral::worker::{StartReply, WorkerCallError, WorkerEnd};
 use winghold::time::Moment;
 
-/// A loss under a run that was not over, as a likely reason or not.
+/// A loss during a run, which is its likely cause or not.
 fn loss(job: u64, worker: &str, likely: bool) -> WorkerLoss {
     WorkerLoss {
         likely,
@@ -37,27 +37,27 @@
     }
 }
 
-fn told(bench: &GateBench) -> Vec<WorkerLoss> {
-    let told = bench.actions.iter().filter_map(|action| match action {
+fn reported_losses(bench: &GateBench) -> Vec<WorkerLoss> {
+    let messages = bench.actions.iter().filter_map(|action| match action {
         GateAction::Send {
             message: ToEntry::Losses(losses),
             ..
         } => Some(losses.clone()),
         _ => None,
     });
-    told.flatten().collect()
+    messages.flatten().collect()
 }
 
-fn recorded(bench: &GateBench) -> Vec<WorkerLoss> {
-    let recorded = bench.actions.iter().filter_map(|action| match action {
+fn stored_losses(bench: &GateBench) -> Vec<WorkerLoss> {
+    let writes = bench.actions.iter().filter_map(|action| match action {
         GateAction::StoreLosses(losses) => Some(losses.clone()),
         _ => None,
     });
-    recorded.last().unwrap_or_default()
+    writes.last().unwrap_or_default()
 }
 
-/// A gate with a run that has gone on for `age_ms` of the 100 ms that are expected.
-fn running(age_ms: u64) -> GateBench {
+/// A gate with a run that started `age_ms` ago and is expected to take 100 ms.
+fn gate_with_run(age_ms: u64) -> GateBench {
     let mut bench = GateBench::ready();
     bench.order(run(1), 600, 100);
     bench.started(run(1), Ok(StartReply::Running));
@@ -67,12 +67,12 @@
 }
 
 #[test]
-fn a_worker_that_refuses_is_lost_under_what_ran_there() {
-    let mut bench = running(10);
+fn worker_that_refuses_connections_is_lost_during_its_runs() {
+    let mut bench = gate_with_run(10);
     bench.stopped(run(9), Err(WorkerCallError::Refused));
-    assert_eq!(told(&bench), [loss(1, "w", true)]);
-    assert_eq!(recorded(&bench), [loss(1, "w", true)]);
-    let told_at = |action: &GateAction| {
+    assert_eq!(reported_losses(&bench), [loss(1, "w", true)]);
+    assert_eq!(stored_losses(&bench), [loss(1, "w", true)]);
+    let is_loss_report = |action: &GateAction| {
         matches!(
             action,
             GateAction::Send {
@@ -81,7 +81,7 @@
             }
         )
     };
-    let ended_at = |action: &GateAction| {
+    let is_run_end = |action: &GateAction| {
         matches!(
             action,
             GateAction::Send {
@@ -90,78 +90,83 @@
             }
         )
     };
-    let told = bench.actions.iter().position(told_at);
-    assert!(told < bench.actions.iter().position(ended_at), "told first");
+    let report = bench.actions.iter().position(is_loss_report);
+    assert!(
+        report < bench.actions.iter().position(is_run_end),
+        "the loss is reported before the end"
+    );
 }
 
 #[test]
-fn a_loss_late_in_a_run_is_told_as_such() {
-    let mut bench = running(30);
+fn loss_late_in_a_run_is_not_a_likely_cause() {
+    let mut bench = gate_with_run(30);
     bench.stopped(run(9), Err(WorkerCallError::Refused));
-    assert_eq!(told(&bench), [loss(1, "w", false)]);
+    assert_eq!(reported_losses(&bench), [loss(1, "w", false)]);
 }
 
-/// A crash fails the hold at once; that nothing listens is learned with the next one.
+/// A crash breaks the poll at once, but only the next call is refused.
 #[test]
-fn the_age_of_a_run_counts_until_the_hold_failed() {
-    let mut bench = running(20);
+fn age_of_a_run_is_measured_until_the_poll_failed() {
+    let mut bench = gate_with_run(20);
     bench.gate.poll_failed(bench.now, true);
     bench.pass(25);
     bench.stopped(run(9), Err(WorkerCallError::Refused));
-    assert_eq!(told(&bench), [loss(1, "w", true)]);
+    assert_eq!(reported_losses(&bench), [loss(1, "w", true)]);
 }
 
 #[test]
-fn a_worker_that_leaves_is_not_lost() {
-    let mut bench = running(10);
+fn worker_that_leaves_is_not_lost() {
+    let mut bench = gate_with_run(10);
     bench.gate.worker_report(bench.now, report("w", true, 2));
     bench.collect();
     bench.stopped(run(9), Err(WorkerCallError::Refused));
     assert_eq!(bench.ends(), [(run(1), RunEnd::Stopped)]);
-    assert!(told(&bench).is_empty() && recorded(&bench).is_empty());
-    let mut bench = running(10);
+    assert!(reported_losses(&bench).is_empty() && stored_losses(&bench).is_empty());
+    let mut bench = gate_with_run(10);
     bench.gate.worker_left(bench.now, &"w".into());
     bench.collect();
-    assert!(told(&bench).is_empty());
+    assert!(reported_losses(&bench).is_empty());
 }
 
 #[test]
-fn a_worker_that_falls_silent_is_lost_once_its_lease_is_over() {
-    let mut bench = running(10);
+fn silent_worker_is_lost_when_its_lease_expires() {
+    let mut bench = gate_with_run(10);
     bench.gate.poll_failed(bench.now, true);
     for _ in 0..3 {
         bench.started(run(8), Err(WorkerCallError::Unanswered));
     }
     for _ in 0..8 {
-        assert!(bench.ends().is_empty() == told(&bench).is_empty());
+        assert!(bench.ends().is_empty() == reported_losses(&bench).is_empty());
         bench.gate.frame_received(bench.now, gate_bench::ENTRY);
         bench.pass(100);
     }
-    assert_eq!(told(&bench), [possible(1, "w")]);
+    assert_eq!(reported_losses(&bench), [possible(1, "w")]);
     bench.another_life_answers();
-    assert_eq!(told(&bench), [possible(1, "w"), loss(1, "w", true)]);
-    assert_eq!(recorded(&bench), [loss(1, "w", true)], "kept once");
+    assert_eq!(
+        reported_losses(&bench),
+        [possible(1, "w"), loss(1, "w", true)]
+    );
+    assert_eq!(stored_losses(&bench), [loss(1, "w", true)], "stored once");
 }
 
-/// Unless it was sent again: then the worker may have crashed before it answered.
+/// A retried start is a possible loss, because the worker may have crashed before it answered.
 #[test]
-fn an_order_that_met_a_worker_already_gone_is_not_lost_with_it() {
-    let mut bench = running(10);
+fn refused_first_start_is_not_lost_with_its_worker() {
+    let mut bench = gate_with_run(10);
     bench.order(run(2), 100, 100);
     bench.order(run(3), 100, 100);
     bench.started(run(3), Err(WorkerCallError::Unanswered));
     bench.started(run(2), Err(WorkerCallError::Refused));
-    let told = told(&bench);
-    assert!(told.contains(&loss(1, "w", true)), "{told:?}");
-    assert!(told.iter().all(|loss| loss.job != JobId(2)), "{told:?}");
-    let third = told.iter().find(|loss| loss.job == JobId(3)).unwrap();
+    let losses = reported_losses(&bench);
+    assert!(losses.contains(&loss(1, "w", true)), "{losses:?}");
+    assert!(losses.iter().all(|loss| loss.job != JobId(2)), "{losses:?}");
+    let third = losses.iter().find(|loss| loss.job == JobId(3)).unwrap();
     assert!(!third.likely && !third.ran);
 }
 
-/// Seed 1056 of `ephemeral_crashing_tasks`: a task crashed each worker before the worker
-/// had answered its start, and no loss was counted at all.
+/// A task may crash each worker before the worker answers the start call.
 #[test]
-fn an_order_whose_answer_comes_after_the_loss_counts_if_the_worker_had_it() {
+fn start_answered_after_the_loss_counts_if_the_worker_may_have_received_it() {
     for (answer, losses) in [
         (Ok(StartReply::Running), vec![loss(2, "w", false)]),
         (Err(WorkerCallError::Unanswered), vec![possible(2, "w")]),
@@ -171,48 +176,56 @@
         let mut bench = GateBench::ready();
         bench.order(run(2), 100, 100);
         bench.stopped(run(9), Err(WorkerCallError::Refused));
-        assert!(told(&bench).is_empty());
+        assert!(reported_losses(&bench).is_empty());
         bench.started(run(2), answer);
-        assert_eq!(told(&bench), losses, "{answer:?}");
+        assert_eq!(reported_losses(&bench), losses, "{answer:?}");
         bench.started(run(2), answer);
-        assert_eq!(told(&bench), losses, "told once");
+        assert_eq!(reported_losses(&bench), losses, "reported once");
     }
 }
 
 #[test]
-fn what_was_there_before_younger_runs_is_not_the_likeliest_reason() {
-    let mut bench = running(20);
+fn older_run_is_not_the_likely_cause_if_a_younger_one_is_lost() {
+    let mut bench = gate_with_run(20);
     bench.order(run(2), 100, 100);
     bench.started(run(2), Ok(StartReply::Running));
     bench.pass(5);
     bench.stopped(run(9), Err(WorkerCallError::Refused));
-    assert_eq!(told(&bench), [loss(1, "w", false), loss(2, "w", true)]);
+    assert_eq!(
+        reported_losses(&bench),
+        [loss(1, "w", false), loss(2, "w", true)]
+    );
 }
 
-/// Seed 188 of `ephemeral_crashing_tasks`: the next life answered an order as the lease
-/// of the silent one ran out, so that the gate took neither for lost.
+/// The next incarnation may answer just as the lease of the silent one expires.
 #[test]
-fn what_a_lease_ended_unheard_is_lost_if_another_life_answers() {
-    let mut bench = running(10);
+fn run_ended_by_its_lease_is_lost_if_another_incarnation_answers() {
+    let mut bench = gate_with_run(10);
     for _ in 0..9 {
         bench.gate.frame_received(bench.now, gate_bench::ENTRY);
         bench.pass(100);
     }
     assert_eq!(bench.ends(), [(run(1), RunEnd::Stopped)]);
-    assert!(told(&bench).is_empty(), "this gate may have stood still");
+    assert!(
+        reported_losses(&bench).is_empty(),
+        "this gate may have been suspended"
+    );
     bench.another_life_answers();
-    assert_eq!(told(&bench).len(), 1);
+    assert_eq!(reported_losses(&bench).len(), 1);
 }
 
 #[test]
-fn an_entry_that_connects_is_told_what_earlier_gates_and_others_knew() {
+fn connecting_entry_receives_losses_of_earlier_gates_and_other_entries() {
     let mut bench = GateBench::ready();
     bench.gate.restore_losses(vec![loss(1, "w-0", true)]);
-    let heard = ToGate::Losses(vec![loss(2, "w-1", false)]);
+    let message = ToGate::Losses(vec![loss(2, "w-1", false)]);
     bench
         .gate
-        .handle_message(bench.now, gate_bench::ENTRY, heard);
-    assert!(told(&bench).is_empty(), "it is not told what it said");
+        .handle_message(bench.now, gate_bench::ENTRY, message);
+    assert!(
+        reported_losses(&bench).is_empty(),
+        "a loss is not sent back to the entry that reported it"
+    );
     let hello = ToGate::Hello {
         entry: process("e-2", 1),
         config: 0,
@@ -221,19 +234,19 @@
     bench.gate.handle_message(bench.now, SessionId(2), hello);
     bench.collect();
     let both = [loss(1, "w-0", true), loss(2, "w-1", false)];
-    assert_eq!(told(&bench), both);
-    assert_eq!(recorded(&bench), both);
+    assert_eq!(reported_losses(&bench), both);
+    assert_eq!(stored_losses(&bench), both);
 }
 
 /// An entry with a job at a gate.
-fn started() -> EntryBench {
+fn entry_with_start() -> EntryBench {
     let mut bench = EntryBench::new(3);
     bench.submit(1, job(1, 1), 0);
     assert_eq!(bench.starts.len(), 1);
     bench
 }
 
-/// The gate of the newest start loses its worker under it.
+/// The gate of the latest start loses its worker during the run.
 fn lose(bench: &mut EntryBench, worker: &str, early: bool) {
     let start = *bench.starts.last().unwrap();
     bench.tell(start.0.0, ToEntry::Losses(vec![loss(1, worker, early)]));
@@ -241,8 +254,8 @@
 }
 
 #[test]
-fn two_likely_losses_end_a_job_or_three_of_any_kind() {
-    let mut bench = started();
+fn two_likely_losses_or_three_of_any_kind_fail_a_job() {
+    let mut bench = entry_with_start();
     lose(&mut bench, "w-1", true);
     assert_eq!(bench.starts.len(), 2);
     lose(&mut bench, "w-2", true);
@@ -250,18 +263,18 @@
     assert_eq!(bench.codes(), [ResultCode::TaskFailed]);
     assert_eq!(bench.answers[0].1.effect, Effect::Ran);
 
-    let mut bench = started();
+    let mut bench = entry_with_start();
     lose(&mut bench, "w-1", false);
     lose(&mut bench, "w-2", true);
-    assert!(bench.answers.is_empty(), "one is no pattern");
+    assert!(bench.answers.is_empty(), "one likely loss is not enough");
     lose(&mut bench, "w-3", false);
     assert_eq!(bench.codes(), [ResultCode::TaskFailed]);
 }
 
-/// What may have been lost keeps a task from further workers, but fails nothing.
+/// Possible losses stop further starts of a task, but do not fail its job.
 #[test]
-fn losses_that_may_be_none_end_a_job_as_unknown() {
-    let mut bench = started();
+fn possible_losses_end_a_job_with_unknown_outcome() {
+    let mut bench = entry_with_start();
     for worker in ["w-1", "w-2", "w-3"] {
         assert!(bench.answers.is_empty(), "{worker}");
         let start = *bench.starts.last().unwrap();
@@ -271,28 +284,31 @@
     assert_eq!(bench.codes(), [ResultCode::OutcomeUnknown]);
     assert_eq!(bench.answers[0].1.effect, Effect::Unknown);
     bench.submit(2, job(1, 1), 0);
-    assert_eq!(bench.starts.len(), 3, "it is not started again");
+    assert_eq!(bench.starts.len(), 3, "the task is not started again");
     assert_eq!(bench.codes(), [ResultCode::OutcomeUnknown; 2]);
     bench.tell(1, ToEntry::Losses(vec![loss(1, "w-1", false)]));
     bench.tell(1, ToEntry::Losses(vec![loss(1, "w-3", false)]));
     bench.submit(3, job(1, 1), 0);
     let last = bench.codes().pop();
-    assert_eq!(last, Some(ResultCode::TaskFailed), "two are known by now");
+    assert_eq!(
+        last,
+        Some(ResultCode::TaskFailed),
+        "two losses are confirmed by now"
+    );
 }
 
-/// Calls to a worker may go unanswered, and run times differ: what has gone on for a third
-/// of its expected time may be over.
+/// Run times differ, so a run past a third of its expected time may have ended.
 #[test]
-fn a_run_that_may_have_been_over_is_a_possible_loss() {
-    let mut bench = running(34);
+fn run_that_may_have_ended_is_a_possible_loss() {
+    let mut bench = gate_with_run(34);
     bench.stopped(run(9), Err(WorkerCallError::Refused));
-    assert_eq!(told(&bench), [possible(1, "w")]);
+    assert_eq!(reported_losses(&bench), [possible(1, "w")]);
 }
 
-/// An order to a life that is over is refused after the next one was found.
+/// A call to an ended incarnation may be refused after the next one was found.
 #[test]
-fn a_refusal_meant_for_an_earlier_life_ends_no_worker() {
-    let mut bench = running(10);
+fn refusal_for_an_earlier_incarnation_does_not_end_the_current_one() {
+    let mut bench = gate_with_run(10);
     bench.another_life_answers();
     bench.actions.clear();
     bench.gate.worker_report(bench.now, report("w-2", false, 2));
@@ -307,14 +323,14 @@
             .stop_answered(bench.now, &"w".into(), run(1), Err(refused));
     }
     bench.collect();
-    assert!(bench.ends().is_empty() && told(&bench).is_empty());
+    assert!(bench.ends().is_empty() && reported_losses(&bench).is_empty());
     assert_eq!(bench.last_load().worker.unwrap().id, "w-2".into());
 }
 
-/// Entries keep their own apart; two that come from two entries would be lost together,
-/// and both seem to be to blame.
+/// Two implicated tasks of different entries would otherwise be lost together, and both
+/// would be blamed.
 #[test]
-fn a_gate_takes_one_task_at_a_time_that_a_worker_was_lost_under() {
+fn gate_runs_one_implicated_task_at_a_time() {
     let mut bench = GateBench::ready();
     bench.order(run(1), 100, 100);
     bench.implicated = true;
@@ -330,8 +346,8 @@
 }
 
 #[test]
-fn a_task_that_is_kept_apart_goes_elsewhere_and_says_why() {
-    let mut bench = started();
+fn implicated_task_is_marked_and_retried_at_another_gate() {
+    let mut bench = entry_with_start();
     lose(&mut bench, "w-1", false);
     let orders = bench.actions.iter().filter_map(|action| match action {
         DispatchAction::Send {
@@ -347,10 +363,9 @@
     assert_ne!(bench.starts[2].0, second.0);
 }
 
-/// Where one gate is left, the tasks of a job that lost a worker have nowhere else to go:
-/// seen, they were turned away there every 10 ms until the job's deadline.
+/// Otherwise the only gate would reject the task repeatedly until the job's deadline.
 #[test]
-fn a_task_is_not_kept_apart_where_there_is_no_other_gate() {
+fn rejected_task_is_not_marked_implicated_again_if_there_is_no_other_gate() {
     let mut bench = EntryBench::new(1);
     bench.tell(1, ToEntry::Losses(vec![loss(1, "w-1", false)]));
     bench.submit(1, job(1, 1), 0);
@@ -366,10 +381,9 @@
     assert_eq!(orders.collect::<Vec<_>>(), [true, false]);
 }
 
-/// All that was on a lost worker is placed anew at once; the task that crashes workers
-/// would take the others along again.
+/// Otherwise the task that crashes workers would affect the other tasks again.
 #[test]
-fn tasks_that_lost_a_worker_together_do_not_go_to_the_same_next_one() {
+fn tasks_of_one_lost_worker_are_restarted_at_different_gates() {
     let mut bench = EntryBench::new(4);
     for id in 1..=3 {
         bench.submit(
@@ -392,8 +406,8 @@
 }
 
 #[test]
-fn one_loss_that_is_told_twice_counts_once() {
-    let mut bench = started();
+fn repeated_report_of_a_loss_counts_once() {
+    let mut bench = entry_with_start();
     for _ in 0..5 {
         bench.tell(1, ToEntry::Losses(vec![loss(1, "w-1", true)]));
     }
@@ -401,8 +415,8 @@
 }
 
 #[test]
-fn a_start_under_way_is_withdrawn_when_others_tell_of_the_last_loss() {
-    let mut bench = started();
+fn pending_start_is_stopped_when_reported_losses_reach_the_limit() {
+    let mut bench = entry_with_start();
     let others = ["w-7", "w-8", "w-9"].map(|worker| loss(1, worker, true));
     let others = others.to_vec();
     bench.tell(3, ToEntry::Losses(others));
@@ -411,7 +425,7 @@
 }
 
 #[test]
-fn a_job_that_others_gave_up_is_not_started_again() {
+fn job_with_enough_losses_in_the_directory_is_not_started() {
     let mut bench = EntryBench::new(2);
     let record = GateRecord {
         gate: "g9".into(),
@@ -426,15 +440,14 @@
         .update_gates(bench.now, &vec![record].into());
     bench.submit(1, job(1, 1), 0);
     bench.submit(2, job(2, 1), 0);
-    assert_eq!(bench.starts.len(), 1, "another job is served");
+    assert_eq!(bench.starts.len(), 1, "the other job is started");
     assert_eq!(bench.codes(), [ResultCode::TaskFailed]);
 }
 
-/// Seed 823 of `ephemeral_crashing_tasks`: gates died at the same time as the workers
-/// that a task took along, and nobody counted these.
+/// A gate that dies together with its worker cannot report the loss itself.
 #[test]
-fn an_entry_tells_of_a_worker_that_was_lost_with_its_gate() {
-    let mut bench = started();
+fn entry_reports_a_worker_that_was_lost_with_its_gate() {
+    let mut bench = entry_with_start();
     let gate = bench.starts[0].0.0;
     bench.pass(10);
     bench.dispatcher.disconnected(SessionId(gate));
@@ -446,25 +459,25 @@
     }
     assert_eq!(bench.codes(), [ResultCode::OutcomeUnknown]);
     bench.connect(gate);
-    bench.load(gate, worker_is("w-next"));
-    let told = [(SessionId(gate), vec![possible(1, "w")])];
-    assert_eq!(told_to_gates(&bench), told);
-    bench.load(gate, worker_is("w-after"));
-    assert_eq!(told_to_gates(&bench), told, "told once");
+    bench.load(gate, load_with_worker("w-next"));
+    let sent = [(SessionId(gate), vec![possible(1, "w")])];
+    assert_eq!(losses_sent_to_gates(&bench), sent);
+    bench.load(gate, load_with_worker("w-after"));
+    assert_eq!(losses_sent_to_gates(&bench), sent, "reported once");
 }
 
-fn told_to_gates(bench: &EntryBench) -> Vec<(SessionId, Vec<WorkerLoss>)> {
-    let told = bench.actions.iter().filter_map(|action| match action {
+fn losses_sent_to_gates(bench: &EntryBench) -> Vec<(SessionId, Vec<WorkerLoss>)> {
+    let messages = bench.actions.iter().filter_map(|action| match action {
         DispatchAction::Send {
             session,
             message: ToGate::Losses(losses),
         } => Some((*session, losses.clone())),
         _ => None,
     });
-    told.collect()
+    messages.collect()
 }
 
-fn worker_is(id: &str) -> GateLoad {
+fn load_with_worker(id: &str) -> GateLoad {
     let worker = WorkerTraits {
         id: id.into(),
         ..(**load(1_000, 0).worker.as_ref().unwrap()).clone()
@@ -476,7 +489,7 @@
 }
 
 #[test]
-fn losses_are_forgotten_after_minutes_and_never_pile_up() {
+fn losses_expire_and_their_number_is_bounded() {
     let at = |seconds: u64| Moment {
         mono_us: seconds * 1_000 * MS,
         wall_ms: 0,
@@ -496,6 +509,10 @@
     for job in 2..10_000 {
         log.record(at(130), &loss(job, "w-3", true));
     }
-    assert_eq!(log.count(JobId(1), 0), 0, "the oldest goes first");
+    assert_eq!(
+        log.count(JobId(1), 0),
+        0,
+        "the oldest loss is evicted first"
+    );
     assert_eq!(log.count(JobId(9_999), 0), 1);
 }
--- a/tests/ephemeral_priority_classes.rs
+++ b/tests/ephemeral_priority_classes.rs
@@ -1,8 +1,5 @@
-//! Runs of several priorities at gates that are full.
-//!
-//! What callers need: a job of eight short tasks is to be answered within some 150 ms, so
-//! that each may wait for room for 80 ms; one that runs for 900 ms may wait for half a
-//! second.
+//! Runs of several priorities at full gates: headroom for urgent runs, queue order and early
+//! rejection of runs that would start too late.
 
 mod ephemeral_fleet;
 mod gate_bench;
@@ -16,11 +13,11 @@
 use winghold::ephemeral::worker::{StartReply, WorkerEnd};
 
 const LONG: Priority = Priority(2);
-/// A fifth of the worker.
-const FIFTH: u64 = 200;
+/// A fifth of the worker's CPU.
+const FIFTH_CPU_MILLI: u64 = 200;
 const NO_ROOM: RunEnd = RunEnd::NotRun(NotRunReason::NoRoom);
 
-/// An order of an entry that leaves headroom.
+/// A start order with `leaves_headroom` set.
 struct Order {
     priority: Priority,
     cpu_milli: u64,
@@ -31,14 +28,14 @@
 
 const URGENT_ORDER: Order = Order {
     priority: Priority::URGENT,
-    cpu_milli: FIFTH,
+    cpu_milli: FIFTH_CPU_MILLI,
     patience_ms: 0,
     due_ms: 80,
     run_ms: 60,
 };
 const LONG_ORDER: Order = Order {
     priority: LONG,
-    cpu_milli: FIFTH,
+    cpu_milli: FIFTH_CPU_MILLI,
     patience_ms: 0,
     due_ms: 450,
     run_ms: 900,
@@ -66,7 +63,7 @@
     bench.collect();
 }
 
-/// A gate that was sent an urgent run every 40 ms for a second; all of them are over.
+/// A gate that received an urgent run every 40 ms for a second; all of them have ended.
 fn after_urgent_orders() -> Bench {
     let mut bench = Bench::ready();
     for id in 1..=25 {
@@ -79,7 +76,7 @@
     bench
 }
 
-/// Sends orders with ids from 100 on; returns those that began.
+/// Sends orders with IDs from 100 on; returns the runs that were started.
 fn send_all(bench: &mut Bench, count: u64, order: &Order) -> Vec<RunId> {
     for id in 100..100 + count {
         send(bench, id, order);
@@ -90,10 +87,8 @@
     bench.ordered()
 }
 
-/// The load: a burst of the least urgent, long kind. It takes all slots but one, which the
-/// next urgent run finds.
 #[test]
-fn long_runs_leave_a_slot_for_urgent_ones() {
+fn long_runs_leave_a_slot_for_urgent_runs() {
     let mut bench = after_urgent_orders();
     assert_eq!(send_all(&mut bench, 5, &LONG_ORDER).len(), 4);
     bench.pass(20);
@@ -104,9 +99,8 @@
     assert!(bench.ordered().contains(&run(200)));
 }
 
-/// The load: long runs alone, a while after the last urgent ones.
 #[test]
-fn long_runs_take_all_room_once_no_urgent_ones_come() {
+fn long_runs_use_all_capacity_when_no_urgent_runs_arrive() {
     let mut bench = after_urgent_orders();
     for _ in 0..50 {
         bench.pass(100);
@@ -115,9 +109,9 @@
     assert_eq!(send_all(&mut bench, 5, &LONG_ORDER).len(), 5);
 }
 
-/// The load: long runs on a worker of two slots, where one would be half of its room.
+/// One of two slots would be half of the worker.
 #[test]
-fn a_small_worker_leaves_nothing_free() {
+fn small_worker_keeps_no_headroom() {
     let mut bench = after_urgent_orders();
     let half = Order {
         cpu_milli: 500,
@@ -126,10 +120,9 @@
     assert_eq!(send_all(&mut bench, 2, &half).len(), 2);
 }
 
-/// The load: runs of 200 ms in a rush, among urgent ones that may wait for 80 ms. One of
-/// five ends every 40 ms.
+/// One of five runs of 200 ms ends every 40 ms, so urgent runs need no headroom.
 #[test]
-fn short_runs_leave_nothing_free() {
+fn short_runs_leave_no_headroom() {
     let mut bench = after_urgent_orders();
     let short = Order {
         run_ms: 200,
@@ -138,10 +131,8 @@
     assert_eq!(send_all(&mut bench, 5, &short).len(), 5);
 }
 
-/// The load: an urgent burst at a worker whose runs end soon, known to entries by old
-/// loads. To go elsewhere would take longer, so the run waits.
 #[test]
-fn a_run_waits_for_room_that_comes_in_time() {
+fn run_waits_for_capacity_that_is_free_in_time() {
     let mut bench = Bench::ready();
     send_all(&mut bench, 5, &URGENT_ORDER);
     send(&mut bench, 1, &URGENT_ORDER);
@@ -151,9 +142,8 @@
     assert!(bench.ordered().contains(&run(1)));
 }
 
-/// The load: an urgent burst with long runs in the way.
 #[test]
-fn a_run_goes_back_at_once_where_room_would_come_late() {
+fn run_is_rejected_at_once_if_capacity_would_be_free_too_late() {
     let mut bench = Bench::ready();
     send_all(&mut bench, 5, &LONG_ORDER);
     let patient = Order {
@@ -165,10 +155,10 @@
     assert_eq!(bench.ends(), [(run(1), NO_ROOM), (run(2), NO_ROOM)]);
 }
 
-/// The load: an urgent burst where less urgent runs wait already. Those that begin too late
-/// behind it are placed elsewhere while there is time.
+/// A waiting run that would now start too late is returned while there is time to place it
+/// at another gate.
 #[test]
-fn a_run_goes_back_when_urgent_ones_come_before_it() {
+fn waiting_run_is_rejected_if_urgent_runs_delay_it_too_long() {
     let mut bench = Bench::ready();
     let running = Order {
         run_ms: 100,
@@ -196,9 +186,8 @@
     assert_eq!(bench.ends(), [(run(1), NO_ROOM)]);
 }
 
-/// The load: late jobs that are served with spare room only.
 #[test]
-fn a_run_for_spare_room_does_not_wait() {
+fn best_effort_run_does_not_wait() {
     let mut bench = Bench::ready();
     send_all(&mut bench, 5, &URGENT_ORDER);
     let spare = Order {
@@ -210,9 +199,9 @@
 }
 
 const SECOND_US: u64 = 1_000_000;
-/// Load at which workers would be full without a break.
-const FULL: f64 = 1.59;
-const CLASSES: Scheduling = Scheduling {
+/// Load at which all workers are busy all the time.
+const FULL_LOAD: f64 = 1.59;
+const PRIORITY_CLASSES: Scheduling = Scheduling {
     priority_classes: true,
     headroom: true,
     deferral: false,
@@ -223,41 +212,35 @@
 
 fn fleet() -> LargeFleet {
     let mut fleet = LargeFleet::new(12, 70);
-    fleet.schedule(CLASSES);
+    fleet.schedule(PRIORITY_CLASSES);
     fleet.run(2 * SECOND_US, 0.0);
-    fleet.run(2 * SECOND_US, FULL * 0.8);
+    fleet.run(2 * SECOND_US, FULL_LOAD * 0.8);
     fleet
 }
 
-/// Loads of the urgent, the long and the middle kind, in parts of the room.
-fn play(fleet: &mut LargeFleet, loads: [f64; 3]) -> Counts {
-    let counts = fleet.run_kinds(5 * SECOND_US, loads.map(|load| load * FULL));
+/// Runs with loads of the urgent, the long and the middle kind, as fractions of the full load.
+fn counts_at_loads(fleet: &mut LargeFleet, loads: [f64; 3]) -> Counts {
+    let counts = fleet.run_kinds(5 * SECOND_US, loads.map(|load| load * FULL_LOAD));
     println!("{loads:?}: {counts:?}");
     counts
 }
 
-/// The load: all kinds at four fifths of the room. Every job is in time without headroom,
-/// and with it.
 #[test]
-fn nothing_is_late_while_there_is_room() {
-    let counts = play(&mut fleet(), [0.8; 3]);
+fn all_kinds_are_in_time_below_capacity() {
+    let counts = counts_at_loads(&mut fleet(), [0.8; 3]);
     assert!(counts.in_time() > 0.998, "{counts:?}");
     assert!(counts.elsewhere * 5 < counts.starts, "{counts:?}");
 }
 
-/// The load: a burst of the least urgent kind to two and a half times its usual. Whoever
-/// asks for no more than before is served in time.
 #[test]
-fn a_burst_of_the_least_urgent_kind_harms_no_other() {
-    let counts = play(&mut fleet(), [0.8, 2.0, 0.8]);
+fn burst_of_the_least_urgent_kind_does_not_delay_other_kinds() {
+    let counts = counts_at_loads(&mut fleet(), [0.8, 2.0, 0.8]);
     assert!(counts.kinds[0].part_in_time() > 0.98, "{counts:?}");
     assert!(counts.kinds[1].part_in_time() > 0.98, "{counts:?}");
 }
 
-/// The load: all kinds, or the urgent one alone, beyond the room; urgent work needs less
-/// than two thirds of it. A job of eight tasks is late if one of them is.
 #[test]
-fn urgent_jobs_are_in_time_wherever_they_alone_would_fit() {
+fn urgent_jobs_are_in_time_under_overload() {
     for loads in [
         [1.24; 3],
         [1.86; 3],
@@ -265,19 +248,18 @@
         [2.0, 0.8, 0.8],
         [0.8, 0.8, 2.0],
     ] {
-        let counts = play(&mut fleet(), loads);
+        let counts = counts_at_loads(&mut fleet(), loads);
         assert!(counts.kinds[0].part_in_time() > 0.96, "{counts:?}");
     }
 }
 
-/// The failure: all processes lose power and know nothing of what was asked for. Headroom
-/// is learned anew within a second.
+/// The demand for urgent runs is not stored, so it must be learned again quickly.
 #[test]
-fn headroom_is_back_soon_after_a_power_loss() {
+fn headroom_is_restored_soon_after_a_power_loss() {
     let mut fleet = fleet();
     fleet.lose_power(SECOND_US / 2);
-    fleet.run(2 * SECOND_US, FULL * 0.8);
-    let counts = play(&mut fleet, [0.8, 2.0, 0.8]);
+    fleet.run(2 * SECOND_US, FULL_LOAD * 0.8);
+    let counts = counts_at_loads(&mut fleet, [0.8, 2.0, 0.8]);
     assert!(counts.kinds[0].part_in_time() > 0.98, "{counts:?}");
     assert!(counts.kinds[1].part_in_time() > 0.98, "{counts:?}");
 }
--- a/tests/ephemeral_restarts.rs
+++ b/tests/ephemeral_restarts.rs
@@ -1,5 +1,5 @@
-//! A worker that starts again under the name it had: it holds nothing, knows nothing of
-//! before, and its counts and its clock start anew. Its birth tells its lives apart.
+//! Workers that restart under the same name with no state and reset counters and clocks.
+//! Their start time distinguishes the incarnations.
 
 mod gate_bench;
 
@@ -13,10 +13,10 @@
 };
 use winghold::ephemeral::worker_id::WorkerId;
 
-/// Birth of the life that is present first.
+/// Start time of the first incarnation.
 const BORN_MS: u64 = 1_700_000_000_000;
-/// Birth of the next one.
-const LATER_MS: u64 = BORN_MS + 9_000;
+/// Start time of the next incarnation.
+const NEXT_BORN_MS: u64 = BORN_MS + 9_000;
 
 fn born(born_ms: u64) -> WorkerId {
     WorkerId {
@@ -32,22 +32,22 @@
     }
 }
 
-/// Whether the worker is to answer it.
-fn is_open(action: &mut GateAction) -> bool {
+/// Whether the action expects an answer of the worker.
+fn expects_answer(action: &mut GateAction) -> bool {
     matches!(action, GateAction::Poll(_) | GateAction::Stop(_))
 }
 
-/// A gate beside a worker that tells its birth, and the answers of that worker.
+/// A gate and a simulated worker that reports its start time.
 struct Restarts {
     bench: Bench,
-    /// The life that answers.
+    /// The current incarnation.
     worker: WorkerId,
     clock_ms: u64,
     running: Vec<RunId>,
     ended: Vec<(u64, RunId)>,
-    /// Highest fencing token that the life has seen.
+    /// Highest fencing token that this incarnation has received.
     fence: u64,
-    /// Ends that were acknowledged in calls for it.
+    /// Highest run end that was acknowledged to this incarnation.
     acked_end: u64,
 }
 
@@ -70,27 +70,27 @@
         restarts.answer();
         restarts.answer();
         restarts.bench.hello(Vec::new());
-        restarts.forget();
+        restarts.clear_actions();
         restarts
     }
 
-    /// A run that this life was seen to run.
+    /// Starts with a run that the worker has listed.
     fn with_run() -> Restarts {
         let mut restarts = Restarts::ready();
         restarts.bench.order(run(1), 600, 100);
         restarts.bench.started(run(1), Ok(StartReply::Running));
         restarts.running.push(run(1));
         restarts.pass(60);
-        restarts.forget();
+        restarts.clear_actions();
         restarts
     }
 
-    /// Forgets what the gate did, but for what is still to be answered.
-    fn forget(&mut self) {
-        self.bench.actions.retain_mut(is_open);
+    /// Clears the recorded actions except those that expect an answer.
+    fn clear_actions(&mut self) {
+        self.bench.actions.retain_mut(expects_answer);
     }
 
-    /// The worker starts again.
+    /// Restarts the worker.
     fn restart(&mut self, born_ms: u64) {
         self.worker = born(born_ms);
         self.clock_ms = 1_000;
@@ -106,7 +106,7 @@
         self.bench.collect();
     }
 
-    fn lists(&self, call: &PollCall) -> PollReply {
+    fn poll_reply(&self, call: &PollCall) -> PollReply {
         let admitted = call.fence.is_none_or(|fence| fence >= self.fence);
         let running = self.running.iter().filter(|_| admitted);
         let ended = self.ended.iter().filter(|_| admitted);
@@ -130,9 +130,9 @@
         }
     }
 
-    /// Answers what is asked now.
+    /// Answers the pending polls and stops.
     fn answer(&mut self) {
-        let actions: Vec<GateAction> = self.bench.actions.extract_if(.., is_open).collect();
+        let actions: Vec<GateAction> = self.bench.actions.extract_if(.., expects_answer).collect();
         let sent = self.bench.now;
         self.bench.now.mono_us += MS;
         self.clock_ms += 1;
@@ -140,7 +140,7 @@
         for action in actions {
             match action {
                 GateAction::Poll(call) => {
-                    let reply = self.lists(&call);
+                    let reply = self.poll_reply(&call);
                     self.fence = self.fence.max(call.fence.unwrap_or(0));
                     if call.worker.as_ref() == Some(&self.worker) {
                         self.acked_end = self.acked_end.max(call.acked_end);
@@ -174,51 +174,50 @@
         }
     }
 
-    fn knows(&mut self) -> Option<WorkerId> {
+    fn known_worker(&mut self) -> Option<WorkerId> {
         self.pass(20);
         let load = self.bench.last_load();
         load.worker.as_ref().map(|worker| worker.id.clone())
     }
 }
 
-/// Its reports count from the start again, far below those of the life before.
+/// Its report sequence restarts far below that of the previous incarnation.
 #[test]
-fn a_worker_that_started_again_is_another_life() {
+fn restarted_worker_is_a_new_incarnation() {
     let mut restarts = Restarts::with_run();
-    restarts.restart(LATER_MS);
-    restarts.report(born(LATER_MS), 1);
+    restarts.restart(NEXT_BORN_MS);
+    restarts.report(born(NEXT_BORN_MS), 1);
     restarts.pass(100);
     assert_eq!(restarts.bench.ends(), [(run(1), RunEnd::Stopped)]);
-    assert_eq!(restarts.knows(), Some(born(LATER_MS)));
+    assert_eq!(restarts.known_worker(), Some(born(NEXT_BORN_MS)));
 }
 
-/// Within one heartbeat nothing but the lists tells.
 #[test]
-fn a_list_tells_that_the_worker_started_again_before_it_reports() {
+fn run_list_reveals_a_restart_before_the_first_report() {
     let mut restarts = Restarts::with_run();
-    restarts.restart(LATER_MS);
+    restarts.restart(NEXT_BORN_MS);
     restarts.pass(100);
     restarts.bench.order(run(2), 600, 0);
     assert_eq!(
         restarts.bench.ordered(),
         [],
-        "nobody knows what its room is"
+        "the capacity is unknown before the first report"
     );
-    restarts.report(born(LATER_MS), 1);
+    restarts.report(born(NEXT_BORN_MS), 1);
     restarts.pass(1_100);
-    assert_eq!(restarts.knows(), Some(born(LATER_MS)));
+    assert_eq!(restarts.known_worker(), Some(born(NEXT_BORN_MS)));
     assert!(restarts.bench.ends().contains(&(run(1), RunEnd::Stopped)));
 }
 
 #[test]
-fn ends_of_the_life_before_acknowledge_none_of_the_next() {
+fn acknowledged_ends_do_not_carry_over_to_the_next_incarnation() {
     let mut restarts = Restarts::with_run();
     restarts.running.clear();
     restarts.ended.push((57, run(1)));
     restarts.pass(60);
     assert_eq!(restarts.acked_end, 57);
-    restarts.restart(LATER_MS);
-    restarts.report(born(LATER_MS), 1);
+    restarts.restart(NEXT_BORN_MS);
+    restarts.report(born(NEXT_BORN_MS), 1);
     restarts.pass(1_100);
     restarts.bench.order(run(2), 600, 100);
     assert_eq!(restarts.bench.ordered(), [run(2)]);
@@ -230,10 +229,10 @@
 }
 
 #[test]
-fn a_report_of_the_life_before_changes_nothing() {
+fn report_of_the_previous_incarnation_is_ignored() {
     let mut restarts = Restarts::ready();
-    restarts.restart(LATER_MS);
-    restarts.report(born(LATER_MS), 1);
+    restarts.restart(NEXT_BORN_MS);
+    restarts.report(born(NEXT_BORN_MS), 1);
     restarts.pass(1_100);
     restarts.bench.order(run(2), 600, 100);
     restarts.bench.started(run(2), Ok(StartReply::Running));
@@ -241,54 +240,52 @@
     restarts.report(born(BORN_MS), 90);
     restarts.pass(100);
     assert_eq!(restarts.bench.ends(), []);
-    assert_eq!(restarts.knows(), Some(born(LATER_MS)));
+    assert_eq!(restarts.known_worker(), Some(born(NEXT_BORN_MS)));
 }
 
-/// A report that was held up is no proof, even one of a later birth: the wall clock may
-/// have been put back before the present life began.
+/// The wall clock may have been set back before the current incarnation started, so a later
+/// start time proves nothing.
 #[test]
-fn a_report_of_a_later_birth_changes_nothing_while_the_present_life_answers() {
+fn report_with_a_later_start_time_is_ignored_while_the_current_incarnation_answers() {
     let mut restarts = Restarts::with_run();
-    restarts.report(born(LATER_MS), 7);
+    restarts.report(born(NEXT_BORN_MS), 7);
     restarts.pass(100);
     assert_eq!(restarts.bench.ends(), []);
-    assert_eq!(restarts.knows(), Some(born(BORN_MS)));
+    assert_eq!(restarts.known_worker(), Some(born(BORN_MS)));
 }
 
 #[test]
-fn a_life_that_was_born_earlier_by_a_clock_put_back_is_followed() {
+fn incarnation_with_an_earlier_start_time_is_adopted() {
     let mut restarts = Restarts::with_run();
     restarts.restart(BORN_MS - 5_000);
     restarts.report(born(BORN_MS - 5_000), 1);
     restarts.pass(100);
     assert_eq!(restarts.bench.ends(), [(run(1), RunEnd::Stopped)]);
-    assert_eq!(restarts.knows(), Some(born(BORN_MS - 5_000)));
+    assert_eq!(restarts.known_worker(), Some(born(BORN_MS - 5_000)));
 }
 
-/// The order was meant for the life before, and its name is that of the present one.
 #[test]
-fn an_order_that_came_to_the_next_life_is_not_given_up_while_it_runs_there() {
+fn start_received_by_the_next_incarnation_is_tracked_there() {
     let mut restarts = Restarts::ready();
     restarts.bench.order(run(1), 600, 100);
-    restarts.restart(LATER_MS);
+    restarts.restart(NEXT_BORN_MS);
     restarts.running.push(run(1));
-    restarts.report(born(LATER_MS), 1);
+    restarts.report(born(NEXT_BORN_MS), 1);
     restarts.pass(100);
-    assert_eq!(restarts.bench.ends(), [], "it runs");
+    assert_eq!(restarts.bench.ends(), [], "the run continues");
     restarts.running.clear();
     restarts.ended.push((1, run(1)));
     restarts.pass(60);
     assert_eq!(restarts.bench.ends(), [(run(1), RunEnd::Done)]);
 }
 
-/// What may still be on its way is barred at the next life before its entry hears that it
-/// is over, and its entry does not hear that it never ran.
+/// The run is barred before its end is reported, and it is not reported as not run.
 #[test]
-fn an_order_on_its_way_is_barred_at_the_next_life() {
+fn pending_start_is_barred_at_the_next_incarnation() {
     let mut restarts = Restarts::ready();
     restarts.bench.order(run(1), 600, 100);
-    restarts.restart(LATER_MS);
-    restarts.report(born(LATER_MS), 1);
+    restarts.restart(NEXT_BORN_MS);
+    restarts.report(born(NEXT_BORN_MS), 1);
     let stops = |restarts: &Restarts| restarts.bench.stops().contains(&run(1));
     let mut barred = false;
     for _ in 0..20 {
@@ -300,60 +297,60 @@
     assert_eq!(restarts.bench.ends(), [(run(1), RunEnd::Stopped)]);
 }
 
-/// An order of the life before brought the next one its fencing token, which is far above
-/// that one's clock: the gate must find one above it.
+/// A start call for the previous incarnation may have raised the fencing token far above the
+/// clock of the current one.
 #[test]
-fn a_fencing_token_from_before_does_not_shut_the_gate_out() {
+fn fencing_token_of_the_previous_incarnation_does_not_lock_the_gate_out() {
     for fence in [400_001, BORN_MS + 400_001, 2 * BORN_MS] {
         let mut restarts = Restarts::ready();
-        restarts.restart(LATER_MS);
+        restarts.restart(NEXT_BORN_MS);
         restarts.fence = fence;
-        restarts.report(born(LATER_MS), 1);
+        restarts.report(born(NEXT_BORN_MS), 1);
         restarts.pass(1_100);
         restarts.bench.order(run(2), 600, 100);
         assert_eq!(restarts.bench.ordered(), [run(2)], "token {fence}");
     }
 }
 
-/// Orders under the token of the life before are ignored once the next one has seen its own.
+/// Otherwise the next incarnation could accept start calls for the previous one.
 #[test]
-fn fencing_tokens_rise_from_life_to_life() {
+fn fencing_token_increases_with_each_incarnation() {
     let mut restarts = Restarts::ready();
     let before = restarts.fence;
-    restarts.restart(LATER_MS);
-    restarts.report(born(LATER_MS), 1);
+    restarts.restart(NEXT_BORN_MS);
+    restarts.report(born(NEXT_BORN_MS), 1);
     restarts.pass(100);
     assert!(restarts.fence > before, "{} {before}", restarts.fence);
 }
 
-/// It names the worker only, and may have been held up.
+/// A departure without a start time names only the worker and may be stale.
 #[test]
-fn a_departure_of_the_life_before_does_not_end_the_present_one() {
+fn departure_without_start_time_does_not_end_the_current_incarnation() {
     let mut restarts = Restarts::with_run();
     let now = restarts.bench.now;
     restarts.bench.gate.worker_left(now, &"w".into());
     restarts.bench.collect();
     restarts.pass(100);
     assert_eq!(restarts.bench.ends(), []);
-    assert_eq!(restarts.knows(), Some(born(BORN_MS)));
+    assert_eq!(restarts.known_worker(), Some(born(BORN_MS)));
 }
 
 #[test]
-fn a_life_that_leaves_by_its_birth_does_not_come_back() {
+fn incarnation_that_left_by_its_start_time_is_not_adopted_again() {
     let mut restarts = Restarts::ready();
     let now = restarts.bench.now;
     restarts.bench.gate.worker_left(now, &born(BORN_MS));
     restarts.report(born(BORN_MS), 41);
-    assert_eq!(restarts.knows(), None);
-    restarts.restart(LATER_MS);
-    restarts.report(born(LATER_MS), 1);
+    assert_eq!(restarts.known_worker(), None);
+    restarts.restart(NEXT_BORN_MS);
+    restarts.report(born(NEXT_BORN_MS), 1);
     restarts.pass(100);
-    assert_eq!(restarts.knows(), Some(born(LATER_MS)));
+    assert_eq!(restarts.known_worker(), Some(born(NEXT_BORN_MS)));
 }
 
-/// It may be of another writer.
+/// Such a report may come from another sender.
 #[test]
-fn a_report_without_a_birth_names_nobody_where_workers_tell_theirs() {
+fn report_without_a_start_time_is_ignored_if_the_worker_has_one() {
     let mut restarts = Restarts::with_run();
     let mut leaving = report("w", true, 99);
     leaving.capacity.cpu_milli = 1;
@@ -365,12 +362,12 @@
         .worker_report(now, report("x", false, 99));
     restarts.pass(100);
     assert_eq!(restarts.bench.ends(), []);
-    assert_eq!(restarts.knows(), Some(born(BORN_MS)));
+    assert_eq!(restarts.known_worker(), Some(born(BORN_MS)));
 }
 
-/// While no life is there, nothing else would contradict it.
+/// No current incarnation contradicts the report.
 #[test]
-fn a_report_without_a_birth_is_not_followed_after_the_worker_is_gone() {
+fn report_without_a_start_time_is_ignored_after_the_worker_is_gone() {
     let mut restarts = Restarts::ready();
     let now = restarts.bench.now;
     let refused = Err(WorkerCallError::Refused);
@@ -380,33 +377,31 @@
     restarts.bench.collect();
     assert_eq!(restarts.bench.last_load().worker, None);
     restarts.pass(20);
-    assert_eq!(restarts.knows(), None);
+    assert_eq!(restarts.known_worker(), None);
 }
 
-/// An answer to an order for the life before tells nothing of the present one.
 #[test]
-fn a_late_answer_for_the_life_before_is_passed_over() {
+fn late_answer_for_the_previous_incarnation_is_ignored() {
     let mut restarts = Restarts::with_run();
-    restarts.restart(LATER_MS);
-    restarts.report(born(LATER_MS), 1);
+    restarts.restart(NEXT_BORN_MS);
+    restarts.report(born(NEXT_BORN_MS), 1);
     restarts.pass(1_100);
     let now = restarts.bench.now;
     let refused = Err(WorkerCallError::Refused);
     let gate = &mut restarts.bench.gate;
     gate.start_answered(now, &born(BORN_MS), run(9), refused);
     gate.stop_answered(now, &born(BORN_MS), run(9), Err(WorkerCallError::Refused));
-    assert_eq!(restarts.knows(), Some(born(LATER_MS)));
+    assert_eq!(restarts.known_worker(), Some(born(NEXT_BORN_MS)));
 }
 
-/// The present life takes the end of a lease that was meant for the one before, on a clock
-/// that reads far less: until that has run out for certain, a gate that died could not be
-/// sure that its runs are over.
+/// The new incarnation may have received a lease for the previous one, which ends much later
+/// on its own clock.
 #[test]
-fn nothing_begins_while_a_lease_of_the_life_before_may_hold() {
+fn no_run_starts_while_a_lease_of_the_previous_incarnation_may_hold() {
     let mut restarts = Restarts::with_run();
-    restarts.restart(LATER_MS);
+    restarts.restart(NEXT_BORN_MS);
     restarts.pass(60);
-    restarts.report(born(LATER_MS), 1);
+    restarts.report(born(NEXT_BORN_MS), 1);
     restarts.pass(300);
     restarts.bench.order(run(2), 100, 0);
     assert_eq!(restarts.bench.ordered(), []);
@@ -415,12 +410,12 @@
     assert_eq!(restarts.bench.ordered(), [run(3)]);
 }
 
-/// It may take the order, and a lease by it, long before its first report or list.
+/// The new incarnation may accept the start and its lease before its first report.
 #[test]
-fn an_answer_by_a_clock_that_started_anew_is_not_that_of_the_life_that_was_meant() {
+fn start_answer_with_a_reset_clock_is_attributed_to_a_new_incarnation() {
     let mut restarts = Restarts::ready();
     restarts.bench.order(run(1), 600, 100);
-    restarts.restart(LATER_MS);
+    restarts.restart(NEXT_BORN_MS);
     restarts.running.push(run(1));
     let answer = StartAnswer {
         reply: StartReply::Running,
@@ -434,8 +429,12 @@
         GateAction::Poll(call) => call.check,
         _ => false,
     });
-    assert!(asked, "the worker is asked at once");
-    restarts.report(born(LATER_MS), 1);
+    assert!(asked, "the worker is polled at once");
+    restarts.report(born(NEXT_BORN_MS), 1);
     restarts.pass(100);
-    assert_eq!(restarts.bench.ends(), [], "it runs on the next life");
+    assert_eq!(
+        restarts.bench.ends(),
+        [],
+        "the run continues at the new incarnation"
+    );
 }
--- a/tests/ephemeral_subset.rs
+++ b/tests/ephemeral_subset.rs
@@ -1,4 +1,5 @@
-//! Which gates an entry keeps sessions with, and what it may say of the others.
+//! Which gates an entry keeps sessions with, and how it treats jobs that only other gates
+//! could run.
 
 mod dispatcher_bench;
 
@@ -14,7 +15,7 @@
 use winghold::ephemeral::subset::{JobKind, Subset};
 use winghold::time::Moment;
 
-const ROOM: u64 = 16_000;
+const WORKER_CPU_MILLI: u64 = 16_000;
 const SECOND_US: u64 = 1_000 * MS;
 
 fn at(mono_us: u64) -> Moment {
@@ -24,13 +25,13 @@
     }
 }
 
-/// A gate whose worker has a rack of twelve.
+/// A gate whose worker is in a rack of twelve.
 fn record(index: usize) -> GateRecord {
     let traits = WorkerTraits {
         id: format!("w{index}").as_str().into(),
         service: "s".into(),
         capacity: Resources {
-            cpu_milli: ROOM,
+            cpu_milli: WORKER_CPU_MILLI,
             memory_mb: 32_000,
             accelerators: 0,
         },
@@ -59,7 +60,7 @@
     subset
 }
 
-fn wanted(subset: &Subset) -> BTreeSet<usize> {
+fn wanted_gates(subset: &Subset) -> BTreeSet<usize> {
     let wants = |index: &usize| subset.is_wanted(&format!("gate-{index}"));
     (0..1_400).filter(wants).collect()
 }
@@ -72,45 +73,45 @@
     JobKind::of(&Arc::from("s"), &spec)
 }
 
-fn general() -> JobKind {
+fn unconstrained_kind() -> JobKind {
     kinds(Constraints::default()).remove(0)
 }
 
 #[test]
-fn a_small_fleet_is_wanted_whole_and_a_large_one_in_part() {
-    assert_eq!(wanted(&subset_of("e", 11)).len(), 11);
-    assert_eq!(wanted(&subset_of("e", 240)).len(), 16);
-    assert_eq!(wanted(&subset_of("e", 1_400)).len(), 16);
+fn subset_contains_all_gates_of_a_small_fleet_and_part_of_a_large_one() {
+    assert_eq!(wanted_gates(&subset_of("e", 11)).len(), 11);
+    assert_eq!(wanted_gates(&subset_of("e", 240)).len(), 16);
+    assert_eq!(wanted_gates(&subset_of("e", 1_400)).len(), 16);
 }
 
 #[test]
-fn the_subset_follows_what_is_asked_for() {
+fn subset_size_follows_demand() {
     let mut subset = subset_of("e", 240);
-    subset.record_demand(at(SECOND_US), &general(), 10 * ROOM);
+    subset.record_demand(at(SECOND_US), &unconstrained_kind(), 10 * WORKER_CPU_MILLI);
     subset.choose(at(2 * SECOND_US));
-    let busy = wanted(&subset).len();
+    let busy = wanted_gates(&subset).len();
     assert!(
         (36..=40).contains(&busy),
-        "{busy} gates for the room of ten"
+        "{busy} gates for the capacity of ten"
     );
     subset.choose(at(40 * SECOND_US));
-    assert_eq!(wanted(&subset).len(), 16, "a while later");
+    assert_eq!(wanted_gates(&subset).len(), 16, "after the demand decayed");
 }
 
 #[test]
-fn an_entry_with_a_quarter_of_all_work_wants_all_gates() {
+fn entry_with_a_quarter_of_all_work_wants_all_gates() {
     let mut subset = subset_of("e", 240);
-    subset.record_demand(at(0), &general(), 60 * ROOM);
+    subset.record_demand(at(0), &unconstrained_kind(), 60 * WORKER_CPU_MILLI);
     subset.choose(at(SECOND_US / 10));
     subset.choose(at(SECOND_US / 4));
-    let wanted = wanted(&subset).len();
-    assert!(wanted >= 235, "{wanted}");
+    let wanted_gates = wanted_gates(&subset).len();
+    assert!(wanted_gates >= 235, "{wanted_gates}");
 }
 
 #[test]
-fn what_is_away_is_replaced_and_taken_back() {
+fn unavailable_gates_are_replaced_until_they_return() {
     let mut subset = subset_of("e", 240);
-    let before = wanted(&subset);
+    let before = wanted_gates(&subset);
     let gone: Vec<Arc<str>> = before
         .iter()
         .take(8)
@@ -119,23 +120,23 @@
     gone.iter()
         .for_each(|gate| subset.set_available(gate, false));
     subset.choose(at(SECOND_US));
-    let during = wanted(&subset);
+    let during = wanted_gates(&subset);
     assert_eq!(
         during.len(),
         24,
-        "eight others, and those that are away are tried on"
+        "eight replacements, and the unavailable gates are still dialed"
     );
     assert!(during.is_superset(&before));
     gone.iter()
         .for_each(|gate| subset.set_available(gate, true));
     subset.choose(at(2 * SECOND_US));
-    assert_eq!(wanted(&subset), before);
+    assert_eq!(wanted_gates(&subset), before);
 }
 
 #[test]
-fn a_gate_that_goes_for_good_moves_one_session() {
+fn removed_gate_is_replaced_by_one_other() {
     let mut subset = subset_of("e", 240);
-    let before = wanted(&subset);
+    let before = wanted_gates(&subset);
     let gone = *before.first().expect("a gate");
     let removed = GateChanges {
         removed: vec![record(gone).gate],
@@ -143,37 +144,43 @@
     };
     subset.update(at(SECOND_US), &removed);
     subset.choose(at(SECOND_US));
-    assert_eq!(wanted(&subset), before, "a record may be back in a moment");
+    assert_eq!(
+        wanted_gates(&subset),
+        before,
+        "a removed record may reappear"
+    );
     subset.choose(at(4 * SECOND_US));
-    let after = wanted(&subset);
+    let after = wanted_gates(&subset);
     assert!(!after.contains(&gone));
     assert_eq!(after.intersection(&before).count(), 15);
     assert_eq!(after.len(), 16);
 }
 
 #[test]
-fn jobs_of_a_rack_get_gates_there() {
+fn jobs_with_a_data_rack_get_gates_in_that_rack() {
     let mut subset = subset_of("e", 240);
     let on_rack = kinds(Constraints {
         data_rack: Some("rack-7".into()),
         ..Constraints::default()
     });
     for kind in &on_rack {
-        subset.record_demand(at(SECOND_US), kind, ROOM / 2);
+        subset.record_demand(at(SECOND_US), kind, WORKER_CPU_MILLI / 2);
     }
     subset.choose(at(SECOND_US));
-    let there = wanted(&subset).range(84..96).count();
-    assert!(there >= 4, "{there} gates of the rack");
+    let in_rack = wanted_gates(&subset).range(84..96).count();
+    assert!(in_rack >= 4, "{in_rack} gates in the rack");
 }
 
 #[test]
-fn entries_together_cover_the_fleet_evenly() {
+fn subsets_of_all_entries_cover_the_fleet_evenly() {
     let mut sessions = vec![0u32; 240];
     for entry in 0..55 {
         let mut subset = subset_of(&format!("front-{entry}"), 240);
-        subset.record_demand(at(0), &general(), 15 * ROOM / 2);
+        subset.record_demand(at(0), &unconstrained_kind(), 15 * WORKER_CPU_MILLI / 2);
         subset.choose(at(SECOND_US / 4));
-        wanted(&subset).iter().for_each(|gate| sessions[*gate] += 1);
+        wanted_gates(&subset)
+            .iter()
+            .for_each(|gate| sessions[*gate] += 1);
     }
     let without = sessions.iter().filter(|count| **count == 0).count();
     assert!(without <= 1, "{without} gates without a session");
@@ -181,8 +188,8 @@
     assert!(most <= 20, "{most} sessions at one gate");
 }
 
-/// A dispatcher connected to one gate of 1,000 millicores that knows of larger workers.
-fn bench_that_knows(records: &[GateRecord]) -> Bench {
+/// A dispatcher that is connected to one gate of 1,000 millicores and knows these records.
+fn bench_with_records(records: &[GateRecord]) -> Bench {
     let mut bench = Bench::new(1);
     let known = records.to_vec().into();
     bench.dispatcher.update_gates(bench.now, &known);
@@ -199,15 +206,15 @@
 }
 
 #[test]
-fn a_job_that_only_fits_workers_without_a_session_waits_for_one() {
-    let mut bench = bench_that_knows(&records(3));
+fn job_that_only_fits_workers_without_a_session_waits_for_one() {
+    let mut bench = bench_with_records(&records(3));
     bench.submit(1, large_job(), 1);
     assert!(bench.answers.is_empty(), "{:?}", bench.answers);
     assert!(bench.dispatcher.wants_session("gate-0"));
     let mut large = load(1_000, 0);
-    large.free.cpu_milli = ROOM;
+    large.free.cpu_milli = WORKER_CPU_MILLI;
     let mut traits = (*large.worker.clone().expect("a worker")).clone();
-    traits.capacity.cpu_milli = ROOM;
+    traits.capacity.cpu_milli = WORKER_CPU_MILLI;
     large.worker = Some(Arc::new(traits));
     bench.connect(2);
     bench.load(2, large);
@@ -215,25 +222,25 @@
 }
 
 #[test]
-fn what_fits_no_worker_of_the_fleet_can_never_run() {
-    let mut bench = bench_that_knows(&records(3));
-    let needs = cpu(2 * ROOM);
+fn job_that_fits_no_known_worker_is_rejected() {
+    let mut bench = bench_with_records(&records(3));
+    let needs = cpu(2 * WORKER_CPU_MILLI);
     bench.submit(1, JobSpec { needs, ..job(1, 1) }, 1);
     assert_eq!(bench.codes(), [ResultCode::CannotRun]);
 }
 
 #[test]
-fn while_a_gate_has_not_told_its_worker_nothing_is_said_to_run_never() {
+fn job_is_not_rejected_for_good_while_the_worker_of_a_gate_is_unknown() {
     let mut known = records(3);
     known[2].worker = None;
-    let mut bench = bench_that_knows(&known);
-    let needs = cpu(2 * ROOM);
+    let mut bench = bench_with_records(&known);
+    let needs = cpu(2 * WORKER_CPU_MILLI);
     bench.submit(1, JobSpec { needs, ..job(1, 1) }, 1);
     assert_eq!(bench.codes(), [ResultCode::Overloaded]);
 }
 
-/// Gates that an entry parts from.
-fn parted(bench: &Bench) -> usize {
+/// Number of surplus sessions that the entry closed.
+fn closed_surplus_sessions(bench: &Bench) -> usize {
     let parts = bench
         .actions
         .iter()
@@ -242,11 +249,11 @@
 }
 
 #[test]
-fn a_session_that_is_not_wanted_is_closed_once_its_work_is_over() {
+fn unwanted_session_is_closed_after_its_runs_end() {
     let mut bench = Bench::new(1);
     bench.submit(1, job(1, 1), 1);
     let start = bench.starts[0];
-    // By its name this gate is none of the first sixteen of 241.
+    // The name hash of this gate is not among the first sixteen of 241.
     let mut all = records(240);
     all.push(GateRecord {
         gate: "g1".into(),
@@ -254,11 +261,18 @@
     });
     bench.dispatcher.update_gates(bench.now, &all.into());
     bench.pass(1);
-    assert!(bench.dispatcher.wants_session("g1"), "it has work there");
-    assert_eq!(parted(&bench), 0);
+    assert!(
+        bench.dispatcher.wants_session("g1"),
+        "the session has a run"
+    );
+    assert_eq!(closed_surplus_sessions(&bench), 0);
     bench.ended(start, winghold::ephemeral::message::RunEnd::Done);
     bench.pass(100);
-    assert_eq!(parted(&bench), 0, "its last run was there a moment ago");
+    assert_eq!(
+        closed_surplus_sessions(&bench),
+        0,
+        "its last run has just ended"
+    );
     bench.steady(2_000);
-    assert_eq!(parted(&bench), 1);
+    assert_eq!(closed_surplus_sessions(&bench), 1);
 }
--- a/tests/ephemeral_total_stop.rs
+++ b/tests/ephemeral_total_stop.rs
@@ -1,8 +1,5 @@
-//! All processes lose power at once and start again.
-//!
-//! The grounds: callers wait for 2 s at least and send again after 1.3 s, so whoever finds
-//! the fleet back is best answered within a few hundred milliseconds; an entry that knows
-//! too few gates by then refuses with room free.
+//! All processes lose power at once and start again: jobs are served at once, and entries
+//! do not refuse jobs while there is capacity.
 
 mod ephemeral_fleet;
 mod large_fleet;
@@ -10,22 +7,21 @@
 use large_fleet::{Counts, LargeFleet};
 
 const SECOND_US: u64 = 1_000_000;
-/// Load at which workers would be full without a break.
-const FULL: f64 = 1.59;
+/// Load at which all workers are busy all the time.
+const FULL_LOAD: f64 = 1.59;
 
-/// Counts of the tenths of a second after a stop of a fleet that was at work.
-fn after_a_stop(load: f64) -> Vec<Counts> {
+/// Counts of each tenth of a second after the power loss of a busy fleet.
+fn counts_after_power_loss(load: f64) -> Vec<Counts> {
     let mut fleet = LargeFleet::new(4, 24);
     fleet.run(2 * SECOND_US, 0.0);
-    fleet.run(SECOND_US, FULL * 0.6);
+    fleet.run(SECOND_US, FULL_LOAD * 0.6);
     fleet.lose_power(SECOND_US * 3 / 2);
     (0..10).map(|_| fleet.run(SECOND_US / 10, load)).collect()
 }
 
-/// The pattern: the usual load, from the first moment after the stop.
 #[test]
-fn all_of_the_usual_load_is_served_in_time_from_the_start() {
-    let tenths = after_a_stop(FULL * 0.6);
+fn usual_load_is_served_in_time_after_a_power_loss() {
+    let tenths = counts_after_power_loss(FULL_LOAD * 0.6);
     let served: u64 = tenths[..3].iter().map(|counts| counts.served).sum();
     assert!(served > 0, "{tenths:?}");
     for counts in tenths {
@@ -33,10 +29,10 @@
     }
 }
 
-/// The pattern: callers whose jobs the stop cut off come again, beside the usual ones.
+/// Callers of interrupted jobs retry in addition to the usual load.
 #[test]
-fn half_as_much_again_is_served_with_the_room_there_is() {
-    let tenths = after_a_stop(FULL * 0.9);
+fn increased_load_is_not_refused_after_a_power_loss() {
+    let tenths = counts_after_power_loss(FULL_LOAD * 0.9);
     let refused: u64 = tenths.iter().map(|counts| counts.refused).sum();
     let served: u64 = tenths.iter().map(|counts| counts.served).sum();
     let late: u64 = tenths.iter().map(|counts| counts.late).sum();
--- a/tests/ephemeral_worker_life.rs
+++ b/tests/ephemeral_worker_life.rs
@@ -1,4 +1,4 @@
-//! Lives of the worker behind a gate: found, superseded, mute, leaving, gone.
+//! Incarnations of the worker of a gate: discovered, replaced, unresponsive, leaving, gone.
 
 mod gate_bench;
 
@@ -8,7 +8,7 @@
 use winghold::ephemeral::worker::{StartReply, WorkerCallError, WorkerEnd, WorkerReport};
 
 #[test]
-fn a_mute_worker_gets_no_orders_and_its_runs_end_with_their_lease() {
+fn unresponsive_worker_gets_no_starts_and_its_runs_end_with_their_lease() {
     let mut bench = Bench::ready();
     bench.order(run(1), 100, 100);
     bench.started(run(1), Ok(StartReply::Running));
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn a_leaving_worker_gets_nothing_and_finishes_what_it_has() {
+fn leaving_worker_gets_no_starts_and_finishes_its_runs() {
     let mut bench = Bench::ready();
     bench.order(run(1), 600, 100);
     bench.started(run(1), Ok(StartReply::Running));
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn a_report_that_was_overtaken_changes_nothing() {
+fn report_with_a_lower_sequence_is_ignored() {
     let mut bench = Bench::ready();
     bench.gate.worker_report(bench.now, report("w", false, 5));
     bench.gate.worker_report(bench.now, report("w", true, 3));
@@ -54,23 +54,21 @@
 }
 
 #[test]
-fn what_ran_on_an_earlier_life_of_the_worker_is_over() {
+fn runs_of_an_earlier_worker_incarnation_end() {
     let mut bench = Bench::ready();
     bench.order(run(1), 600, 100);
     bench.started(run(1), Ok(StartReply::Running));
     bench.gate.worker_report(bench.now, report("w2", false, 1));
     bench.collect();
-    assert!(bench.ends().is_empty(), "the report may be an old one");
+    assert!(bench.ends().is_empty(), "the report may be stale");
     bench.another_life_answers();
     assert_eq!(bench.ends(), [(run(1), RunEnd::Stopped)]);
     assert_eq!(bench.worker(), "w2".into());
 }
 
-/// A report that was held up on its way told of a life that had crashed before the
-/// present one began: the gate followed it, took the present runs as stopped and
-/// gave their room again.
+/// The gate must not end the current runs because of a delayed report of a crashed worker.
 #[test]
-fn a_late_report_of_an_earlier_life_changes_nothing_while_the_present_one_answers() {
+fn stale_report_of_an_earlier_incarnation_is_ignored_while_the_current_one_answers() {
     let mut bench = Bench::ready();
     bench.order(run(1), 600, 100);
     bench.started(run(1), Ok(StartReply::Running));
@@ -80,18 +78,18 @@
     bench.lists(vec![(run(1), 50)], Vec::new());
     bench.order(run(2), 600, 100);
     assert!(bench.ends().is_empty());
-    assert_eq!(bench.ordered(), [run(1)], "the room is still taken");
+    assert_eq!(bench.ordered(), [run(1)], "the capacity is still in use");
     assert_eq!(bench.worker(), "w".into());
     bench.another_life_answers();
     assert_eq!(
         bench.last_load().worker,
         None,
-        "nothing is left of the report"
+        "the stale report is not used"
     );
 }
 
 #[test]
-fn a_life_that_was_superseded_does_not_come_back() {
+fn replaced_incarnation_is_not_adopted_again() {
     let mut bench = Bench::ready();
     bench.gate.worker_report(bench.now, report("w2", false, 1));
     bench.another_life_answers();
@@ -103,9 +101,9 @@
     assert_eq!(bench.last_load().worker, None);
 }
 
-/// An order to the earlier life may be answered after its successor was followed.
+/// A call to the earlier incarnation may be answered after the gate adopted the next one.
 #[test]
-fn a_late_answer_to_an_order_for_the_earlier_life_does_not_end_the_present_one() {
+fn late_answer_to_a_call_for_an_earlier_incarnation_does_not_end_the_current_one() {
     let mut bench = Bench::ready();
     bench.order(run(1), 600, 100);
     bench.order(run(2), 200, 100);
@@ -119,7 +117,7 @@
 }
 
 #[test]
-fn an_order_that_another_life_answers_makes_the_gate_ask_for_the_present_one() {
+fn start_answered_by_another_incarnation_makes_the_gate_poll_the_worker() {
     let mut bench = Bench::ready();
     bench.order(run(1), 600, 100);
     bench.actions.clear();
@@ -134,7 +132,7 @@
 }
 
 #[test]
-fn a_life_that_said_goodbye_does_not_come_back() {
+fn incarnation_that_left_is_not_adopted_again() {
     let mut bench = Bench::ready();
     bench.gate.worker_left(bench.now, &"w".into());
     bench.gate.worker_report(bench.now, report("w", false, 50));
@@ -143,7 +141,7 @@
 }
 
 #[test]
-fn a_recalled_life_gives_way_to_the_one_that_reports() {
+fn restored_incarnation_is_replaced_by_the_one_that_reports() {
     let mut bench = Bench::unlisted();
     bench.gate.worker_report(bench.now, report("w2", false, 1));
     bench.another_life_answers();
@@ -151,7 +149,7 @@
 }
 
 #[test]
-fn a_mute_life_gives_way_once_nothing_can_run_on_it_any_more() {
+fn unresponsive_incarnation_is_replaced_after_its_leases_expire() {
     let mut bench = Bench::ready();
     bench.order(run(1), 600, 100);
     bench.started(run(1), Ok(StartReply::Running));
@@ -171,17 +169,16 @@
     assert_eq!(bench.worker(), "w2".into());
 }
 
-/// A report of the present life with this capacity.
+/// A report of the current incarnation with this capacity.
 fn resized(cpu_milli: u64, sequence: u64) -> WorkerReport {
     let mut report = report("w", false, sequence);
     report.capacity.cpu_milli = cpu_milli;
     report
 }
 
-/// What runs goes on and counts; nothing begins that would bring the worker over what it
-/// has now, whatever was said before in a report that comes late.
+/// Existing runs continue and count against the reduced capacity; stale reports are ignored.
 #[test]
-fn nothing_begins_beyond_a_capacity_that_has_shrunk_until_it_grows_again() {
+fn no_run_starts_beyond_a_reduced_capacity() {
     let mut bench = Bench::ready();
     bench.order(run(1), 600, 100);
     bench.started(run(1), Ok(StartReply::Running));
@@ -193,7 +190,11 @@
     bench.order(run(3), 600, 5_000);
     assert_eq!(bench.ordered(), [run(1)]);
     bench.lists(Vec::new(), vec![(1, run(1), WorkerEnd::Done)]);
-    assert_eq!(bench.ordered(), [run(1), run(2)], "what fits now");
+    assert_eq!(
+        bench.ordered(),
+        [run(1), run(2)],
+        "the run that fits the reduced capacity"
+    );
     bench.pass(20);
     let worker = bench.last_load().worker.unwrap();
     assert_eq!(
@@ -205,11 +206,9 @@
     assert_eq!(bench.ordered(), [run(1), run(2), run(3)]);
 }
 
-/// Seen: eight workers of 65 that broke off every connection for six seconds, beside good
-/// heartbeats, were dialed 19,000 times, as many as there were jobs. Each hold was sent
-/// again after 20 ms, and each stop at once.
+/// A worker may send heartbeats and still break every connection; the gate must back off.
 #[test]
-fn a_worker_that_breaks_connections_off_is_dialed_less_and_less() {
+fn calls_to_a_worker_that_breaks_connections_back_off() {
     let mut bench = Bench::ready();
     for job in 1..=3 {
         bench.order(run(job), 100, 100);
@@ -221,32 +220,34 @@
     bench.collect();
     let started = |action: &GateAction| matches!(action, GateAction::Start(_));
     bench.actions.retain(|action| !started(action));
-    let (mut dials, mut holds) = (0, Vec::new());
+    let (mut dials, mut polls) = (0, Vec::new());
     for _ in 0..1_200 {
         for action in std::mem::take(&mut bench.actions) {
             match action {
                 GateAction::Poll(call) => {
                     dials += 1;
                     let due_us = bench.now.mono_us + call.retry_delay.as_micros() as u64;
-                    holds.push((due_us, bench.now, call));
+                    polls.push((due_us, bench.now, call));
                 }
                 GateAction::Stop(call) => {
                     dials += 1;
                     bench.stopped(call.run, Err(WorkerCallError::Unanswered));
                 }
-                GateAction::Start(call) => panic!("{} is ordered", call.run),
+                GateAction::Start(call) => {
+                    panic!("{} is started, though the worker is unreachable", call.run)
+                }
                 _ => {}
             }
         }
         bench.gate.frame_received(bench.now, ENTRY);
         bench.pass(5);
         let now = bench.now;
-        for (_, sent, call) in holds.extract_if(.., |(due_us, ..)| *due_us <= now.mono_us) {
+        for (_, sent, call) in polls.extract_if(.., |(due_us, ..)| *due_us <= now.mono_us) {
             let unanswered = Err(WorkerCallError::Unanswered);
             bench.gate.poll_answered(now, sent, &call, unanswered);
         }
         bench.collect();
     }
-    assert!(dials < 80, "{dials} in six seconds");
-    assert!(dials > 12, "it is asked again and again: {dials}");
+    assert!(dials < 80, "{dials} calls in six seconds");
+    assert!(dials > 12, "calls are retried: {dials}");
 }
--- a/tests/ephemeral_worker_speeds.rs
+++ b/tests/ephemeral_worker_speeds.rs
@@ -1,9 +1,5 @@
-//! Workers of unlike speed, and tasks of which a few run for several times as long.
-//!
-//! The pattern: a quarter of the workers takes 1.8 times as long as tasks are guessed, the
-//! others 0.83; three tasks in a hundred run seven times as long on any worker. The grounds
-//! of the bounds: a worker that is thought slow for a long task loses runs that would have
-//! ended in time, and a run that is moved for being long does its work twice.
+//! Workers of different speeds and tasks of which a few are much longer: slow workers are
+//! detected, and long tasks neither mark their worker slow nor are moved.
 
 mod dispatcher_bench;
 mod ephemeral_fleet;
@@ -19,7 +15,7 @@
 use winghold::ephemeral::session::SessionId;
 use winghold::ephemeral::worker::{StartReply, WorkerEnd};
 
-const ON: Scheduling = Scheduling {
+const WORKER_SPEEDS: Scheduling = Scheduling {
     priority_classes: false,
     headroom: false,
     deferral: false,
@@ -28,7 +24,7 @@
     lag_limit: false,
 };
 
-/// A gate that goes by medians, with these runs on its worker.
+/// A gate that uses medians, with these runs on its worker.
 fn gate_with(runs: &[RunId]) -> Bench {
     let mut bench = Bench::ready();
     bench.by_median = true;
@@ -39,13 +35,13 @@
     bench
 }
 
-fn listed(bench: &mut Bench, after_ms: u64, running: &[(RunId, u32)]) {
+fn list_after(bench: &mut Bench, after_ms: u64, running: &[(RunId, u32)]) {
     bench.pass(after_ms);
     bench.gate.frame_received(bench.now, ENTRY);
     bench.lists(running.to_vec(), Vec::new());
 }
 
-/// One run after the other, each of so many milliseconds; the slowness after the last.
+/// Plays runs of these lengths one after another; returns the slowness after the last.
 fn after_runs(bench: &mut Bench, first: u64, runs_ms: impl Iterator<Item = u64>) -> u32 {
     for (index, run_ms) in runs_ms.enumerate() {
         let number = first + index as u64;
@@ -62,17 +58,16 @@
     bench.last_load().slowness_percent
 }
 
-/// Long tasks, three of them in a row: more than chance brings in a minute.
+/// Three long tasks in a row.
 #[test]
-fn long_tasks_do_not_make_their_worker_slow() {
+fn long_tasks_do_not_mark_their_worker_slow() {
     let mut bench = gate_with(&[]);
     let runs_ms = (0..40).map(|index| if index > 36 { 700 } else { 100 });
     assert_eq!(after_runs(&mut bench, 1, runs_ms), 100);
 }
 
-/// A worker that turns slow: known before the caller of a second job would be late.
 #[test]
-fn a_worker_that_turned_slow_is_known_within_some_runs() {
+fn slow_worker_is_detected_within_a_few_runs() {
     let mut bench = gate_with(&[]);
     let before = std::iter::repeat_n(100, 30);
     assert_eq!(after_runs(&mut bench, 1, before), 100);
@@ -80,10 +75,9 @@
     assert_eq!(after_runs(&mut bench, 31, slow), 300);
 }
 
-/// A slow worker gets no urgent runs: without any it is tried again, or it would stay
-/// unused after it got well.
+/// A slow worker gets no urgent runs, so its slowness must expire without runs.
 #[test]
-fn a_slow_worker_without_runs_is_tried_again() {
+fn slowness_of_a_worker_without_runs_expires() {
     let mut bench = gate_with(&[]);
     let slow = std::iter::repeat_n(200, 20);
     assert_eq!(after_runs(&mut bench, 1, slow), 200);
@@ -95,18 +89,18 @@
     assert_eq!(bench.last_load().slowness_percent, 100);
 }
 
-/// All runs get on badly: their worker is slow, and callers are served sooner elsewhere.
+/// All runs make slow progress.
 #[test]
-fn runs_on_a_worker_that_turned_slow_are_moved() {
+fn runs_on_a_slow_worker_are_moved() {
     let runs = [run(1), run(2), run(3)];
     let mut bench = gate_with(&runs);
     for percent in [4, 8, 12, 16] {
-        listed(&mut bench, 40, &runs.map(|run| (run, percent)));
+        list_after(&mut bench, 40, &runs.map(|run| (run, percent)));
     }
     assert_eq!(bench.stops(), runs);
 }
 
-/// Two long tasks beside one that gets on: they would be as long anywhere.
+/// Two long tasks beside one with normal progress would be as long on any worker.
 #[test]
 fn long_tasks_are_not_moved() {
     let runs = [run(1), run(2), run(3)];
@@ -114,30 +108,30 @@
     for step in 1..=4 {
         let percents = [step * 4, step * 4, step * 20];
         let running: Vec<(RunId, u32)> = runs.into_iter().zip(percents).collect();
-        listed(&mut bench, 40, &running);
+        list_after(&mut bench, 40, &running);
     }
     assert!(bench.stops().is_empty());
 }
 
-/// A long task makes a percent now and then; one that hangs makes none.
+/// A long task makes slow progress; a task that hangs makes none.
 #[test]
-fn a_long_task_makes_way_and_one_that_hangs_is_stopped() {
+fn long_task_continues_and_hanging_task_is_stopped() {
     let mut bench = Bench::ready();
     bench.by_median = true;
     bench.expected_us = 1_500 * MS;
     bench.order(run(1), 100, 100);
     bench.started(run(1), Ok(StartReply::Running));
     for step in 0..30 {
-        listed(&mut bench, 75, &[(run(1), step / 2)]);
+        list_after(&mut bench, 75, &[(run(1), step / 2)]);
     }
     assert!(bench.stops().is_empty());
     for _ in 0..10 {
-        listed(&mut bench, 75, &[(run(1), 15)]);
+        list_after(&mut bench, 75, &[(run(1), 15)]);
     }
     assert_eq!(bench.stops(), [run(1)]);
 }
 
-/// Where a task of 100 ms would run 1.8 times as long, after `begin_us`.
+/// A task of 100 ms that starts after `begin_us` on a worker that takes 1.8 times as long.
 fn on_slow_worker(begin_us: f64, others: u32) -> PlannedRun {
     PlannedRun {
         begin_us,
@@ -148,10 +142,10 @@
     }
 }
 
-/// A short task on a slow worker ends in time while it has not to wait; a long one never
-/// does, but for a caller whose job has a longer task elsewhere.
+/// A short task on a slow worker ends in time if it starts at once; a long task matters
+/// less in a job with many other tasks, one of which may be long too.
 #[test]
-fn the_chance_of_a_miss_follows_the_spread() {
+fn miss_chance_follows_the_spread() {
     let ratios = (0..100).map(|index| if index < 97 { 1.0 } else { 7.0 });
     let spread = RunSpread::from_ratios(ratios).expect("enough runs");
     let chance = |begin_us, others| spread.miss_chance(&on_slow_worker(begin_us, others));
@@ -160,12 +154,11 @@
     assert!((0.7..0.9).contains(&chance(60e3, 7)));
 }
 
-/// A wide, short job: one task that ends too late at a slow worker costs all of it, so each
-/// waits longer for a fast one.
+/// One late task on a slow worker makes the whole job late, so each task waits for a fast one.
 #[test]
-fn all_tasks_of_a_wide_job_go_where_they_end_in_time() {
+fn all_tasks_of_a_wide_job_wait_for_the_fast_worker() {
     let mut bench = dispatcher_bench::Bench::new(2);
-    bench.dispatcher.set_scheduling(ON);
+    bench.dispatcher.set_scheduling(WORKER_SPEEDS);
     for id in 1..=40 {
         bench.submit(id, dispatcher_bench::job(id, 1), 0);
         let start = *bench.starts.last().expect("a start");
@@ -187,28 +180,27 @@
     assert!(bench.starts.iter().all(|(gate, _)| *gate == SessionId(2)));
 }
 
-/// Part of the jobs in time at a part of the room of an uneven fleet.
-fn in_time_at(part: f64) -> f64 {
+/// Fraction of jobs in time at this fraction of the capacity of an uneven fleet.
+fn in_time_at(fraction: f64) -> f64 {
     const SECOND_US: u64 = 1_000_000;
-    const FULL: f64 = 1.59;
+    const FULL_LOAD: f64 = 1.59;
     let mut fleet = LargeFleet::new(12, 70);
-    fleet.schedule(ON);
+    fleet.schedule(WORKER_SPEEDS);
     let slowness = |worker: usize| if worker.is_multiple_of(4) { 1.82 } else { 0.83 };
     fleet.slowness = (0..70).map(slowness).collect();
     fleet.tail = (0.03, 7.0);
-    // Mean speed of the workers over the mean length of tasks.
-    let load = FULL * part * 1.04 / 1.18;
+    // Mean speed of the workers divided by the mean length of tasks.
+    let load = FULL_LOAD * fraction * 1.04 / 1.18;
     fleet.run(2 * SECOND_US, 0.0);
     fleet.run(2 * SECOND_US, load);
     let counts = fleet.run(4 * SECOND_US, load);
-    println!("{part}: {:.3} in time, {counts:?}", counts.in_time());
+    println!("{fraction}: {:.3} in time, {counts:?}", counts.in_time());
     counts.in_time()
 }
 
-/// An uneven fleet with room: callers are served in time, as on an even one. Means made
-/// nearly every worker slow for a while, and a third of the jobs was in time.
+/// Means instead of medians would mark nearly every worker slow.
 #[test]
-fn an_uneven_fleet_with_long_tasks_serves_in_time_while_there_is_room() {
+fn uneven_fleet_with_long_tasks_is_in_time_below_capacity() {
     assert!(in_time_at(0.8) > 0.94);
     assert!(in_time_at(0.95) > 0.82);
 }
