--- a/tests/ephemeral_deferral.rs
+++ b/tests/ephemeral_deferral.rs
@@ -191,7 +191,7 @@
 
 fn fleet_at(load: f64) -> Counts {
     let mut fleet = LargeFleet::new(12, 70);
-    fleet.schedule(PARTS);
+    fleet.set_scheduling(PARTS);
     fleet.run(2_000 * MS, 0.0);
     fleet.run(2_000 * MS, FULL * 0.8);
     let counts = fleet.run(SPAN_US, FULL * load);
--- a/tests/ephemeral_heavy_load.rs
+++ b/tests/ephemeral_heavy_load.rs
@@ -16,20 +16,23 @@
     fleet.run(2 * SECOND_US, 0.0);
     fleet.run(2 * SECOND_US, load);
     let counts = fleet.run(2 * SECOND_US, load);
-    println!("{load}: {:.3} in time, {counts:?}", counts.in_time());
+    println!(
+        "{load}: {:.3} in time, {counts:?}",
+        counts.fraction_in_time()
+    );
     counts
 }
 
 #[test]
 fn nearly_all_jobs_are_in_time_below_capacity() {
-    assert!(counts_at_load(FULL_LOAD * 0.82).in_time() > 0.99);
-    assert!(counts_at_load(FULL_LOAD * 0.94).in_time() > 0.93);
+    assert!(counts_at_load(FULL_LOAD * 0.82).fraction_in_time() > 0.99);
+    assert!(counts_at_load(FULL_LOAD * 0.94).fraction_in_time() > 0.93);
 }
 
 #[test]
 fn starts_above_capacity_are_not_redirected_repeatedly() {
     let counts = counts_at_load(FULL_LOAD * 1.13);
-    assert!(counts.elsewhere < counts.starts * 5 / 4, "{counts:?}");
+    assert!(counts.not_done_runs < counts.starts * 5 / 4, "{counts:?}");
     assert!(counts.unknown * 100 < counts.served, "{counts:?}");
 }
 
@@ -41,12 +44,12 @@
 #[test]
 fn entry_without_cpu_time_refuses_jobs_it_would_answer_late() {
     let mut fleet = LargeFleet::new(12, 70);
-    fleet.schedule(Scheduling {
+    fleet.set_scheduling(Scheduling {
         lag_limit: true,
         ..Scheduling::default()
     });
     fleet.run(2 * SECOND_US, 0.0);
-    fleet.press(0, INPUT_US, 1);
+    fleet.slow_down_entry(0, INPUT_US, 1);
     fleet.run(2 * SECOND_US, FULL_LOAD * 0.9);
     let counts = fleet.run(3 * SECOND_US, FULL_LOAD * 0.9);
     println!("{counts:?}");
--- a/tests/ephemeral_large_config.rs
+++ b/tests/ephemeral_large_config.rs
@@ -5,7 +5,7 @@
 
 use std::time::Duration;
 
-use narrow_links::Machines;
+use narrow_links::LinkedFleet;
 use winghold::ephemeral::message::ConfigDocument;
 
 const ENTRIES: usize = 4;
@@ -22,23 +22,26 @@
     }
 }
 
-fn connected_fleet() -> Machines {
-    let mut machines = Machines::new(ENTRIES, GATES);
-    machines.run_for(Duration::from_secs(1));
-    assert_eq!(machines.ended, 0, "no session ended before the change");
-    machines
+fn connected_fleet() -> LinkedFleet {
+    let mut fleet = LinkedFleet::new(ENTRIES, GATES);
+    fleet.run_for(Duration::from_secs(1));
+    assert_eq!(
+        fleet.ended_sessions, 0,
+        "no session ended before the change"
+    );
+    fleet
 }
 
 #[test]
 fn large_configuration_does_not_delay_heartbeats() {
-    let mut machines = connected_fleet();
-    let before = machines.sent(0);
+    let mut fleet = connected_fleet();
+    let before = fleet.sent_bytes(0);
     for entry in 0..ENTRIES {
-        machines.read(entry, large_config(2));
+        fleet.load_config(entry, large_config(2));
     }
-    machines.run_for(APPLY_TIMEOUT);
-    assert_eq!(machines.ended, 0, "no session ended");
-    let sent = machines.sent(0) - before;
+    fleet.run_for(APPLY_TIMEOUT);
+    assert_eq!(fleet.ended_sessions, 0, "no session ended");
+    let sent = fleet.sent_bytes(0) - before;
     assert!(
         sent < CONFIG_BYTES,
         "{sent} bytes sent, though every entry has the document"
@@ -47,12 +50,12 @@
 
 #[test]
 fn entry_without_the_store_gets_a_large_configuration_from_gates() {
-    let mut machines = connected_fleet();
+    let mut fleet = connected_fleet();
     for entry in 1..ENTRIES {
-        machines.read(entry, large_config(2));
+        fleet.load_config(entry, large_config(2));
     }
-    machines.run_for(APPLY_TIMEOUT);
-    let version = machines.in_force(0).map(|(version, _)| version);
+    fleet.run_for(APPLY_TIMEOUT);
+    let version = fleet.applied_config(0).map(|(version, _)| version);
     assert_eq!(version, Some(2), "in the entry that cannot read the store");
-    assert_eq!(machines.ended, 0, "no session ended");
+    assert_eq!(fleet.ended_sessions, 0, "no session ended");
 }
--- a/tests/ephemeral_priority_classes.rs
+++ b/tests/ephemeral_priority_classes.rs
@@ -212,7 +212,7 @@
 
 fn fleet() -> LargeFleet {
     let mut fleet = LargeFleet::new(12, 70);
-    fleet.schedule(PRIORITY_CLASSES);
+    fleet.set_scheduling(PRIORITY_CLASSES);
     fleet.run(2 * SECOND_US, 0.0);
     fleet.run(2 * SECOND_US, FULL_LOAD * 0.8);
     fleet
@@ -228,15 +228,15 @@
 #[test]
 fn all_kinds_are_in_time_below_capacity() {
     let counts = counts_at_loads(&mut fleet(), [0.8; 3]);
-    assert!(counts.in_time() > 0.998, "{counts:?}");
-    assert!(counts.elsewhere * 5 < counts.starts, "{counts:?}");
+    assert!(counts.fraction_in_time() > 0.998, "{counts:?}");
+    assert!(counts.not_done_runs * 5 < counts.starts, "{counts:?}");
 }
 
 #[test]
 fn burst_of_the_least_urgent_kind_does_not_delay_other_kinds() {
     let counts = counts_at_loads(&mut fleet(), [0.8, 2.0, 0.8]);
-    assert!(counts.kinds[0].part_in_time() > 0.98, "{counts:?}");
-    assert!(counts.kinds[1].part_in_time() > 0.98, "{counts:?}");
+    assert!(counts.kinds[0].fraction_in_time() > 0.98, "{counts:?}");
+    assert!(counts.kinds[1].fraction_in_time() > 0.98, "{counts:?}");
 }
 
 #[test]
@@ -249,7 +249,7 @@
         [0.8, 0.8, 2.0],
     ] {
         let counts = counts_at_loads(&mut fleet(), loads);
-        assert!(counts.kinds[0].part_in_time() > 0.96, "{counts:?}");
+        assert!(counts.kinds[0].fraction_in_time() > 0.96, "{counts:?}");
     }
 }
 
@@ -260,6 +260,6 @@
     fleet.lose_power(SECOND_US / 2);
     fleet.run(2 * SECOND_US, FULL_LOAD * 0.8);
     let counts = counts_at_loads(&mut fleet, [0.8, 2.0, 0.8]);
-    assert!(counts.kinds[0].part_in_time() > 0.98, "{counts:?}");
-    assert!(counts.kinds[1].part_in_time() > 0.98, "{counts:?}");
+    assert!(counts.kinds[0].fraction_in_time() > 0.98, "{counts:?}");
+    assert!(counts.kinds[1].fraction_in_time() > 0.98, "{counts:?}");
 }
--- a/tests/ephemeral_safety.rs
+++ b/tests/ephemeral_safety.rs
@@ -1,5 +1,5 @@
-//! Best-effort jobs under arbitrary failures: no task runs twice at a time, no
-//! worker is over its capacity, and a refusal is true.
+//! Best-effort jobs under random failures: no task has overlapping runs, no worker exceeds
+//! its capacity, and a refused job has not run.
 
 mod ephemeral_fleet;
 
@@ -13,14 +13,13 @@
 use rand::{RngExt, SeedableRng};
 use winghold::ephemeral::limits::Limits;
 
-/// Cases in CI; more are played by setting `EPHEMERAL_CASES`.
-const CASES: u64 = 150;
-/// Happenings of a case.
-const LENGTH: usize = 40;
+/// Default number of cases; the environment variable `EPHEMERAL_CASES` overrides it.
+const DEFAULT_CASES: u64 = 150;
+/// Events per case.
+const EVENTS_PER_CASE: usize = 40;
 
-/// One thing that happens.
 #[derive(Clone, Copy, Debug, TypeGenerator)]
-enum Happening {
+enum FleetEvent {
     Submit(u8),
     SubmitMany(u8),
     KillEntry(u8),
@@ -43,109 +42,108 @@
     Wait(u8),
 }
 
-fn apply(fleet: &mut Fleet, happening: Happening) {
+fn apply_event(fleet: &mut Fleet, event: FleetEvent) {
     let pick = |which: u8| usize::from(which % 3);
     let span = |length: u8| u64::from(length) * 12_000;
-    match happening {
-        Happening::Submit(kind) => fleet.submit(u32::from(kind % 4) + 1, 200_000),
-        Happening::SubmitMany(count) => {
+    match event {
+        FleetEvent::Submit(kind) => fleet.submit(u32::from(kind % 4) + 1, 200_000),
+        FleetEvent::SubmitMany(count) => {
             for _ in 0..count % 8 {
                 fleet.submit(3, 100_000);
             }
         }
-        Happening::KillEntry(which) => fleet.kill_entry(pick(which)),
-        Happening::KillGate(which) => fleet.kill_gate(pick(which)),
-        Happening::FreezeEntry(which, length) => fleet.freeze_entry(pick(which), span(length)),
-        Happening::FreezeGate(which, length) => fleet.freeze_gate(pick(which), span(length)),
-        Happening::CutEntry(which, length) => fleet.cut_entry(pick(which), span(length)),
-        Happening::CutGate(which, length) => fleet.cut_gate(pick(which), span(length)),
-        Happening::Reset(which) => fleet.reset_connections(pick(which)),
-        Happening::Silence(which) => fleet.silence_connections(pick(which)),
-        Happening::CrashWorker(which) => fleet.crash_worker(pick(which)),
-        Happening::LateReport(which) => fleet.late_report(pick(which)),
-        Happening::MuteWorker(which, length) => {
+        FleetEvent::KillEntry(which) => fleet.kill_entry(pick(which)),
+        FleetEvent::KillGate(which) => fleet.kill_gate(pick(which)),
+        FleetEvent::FreezeEntry(which, length) => fleet.freeze_entry(pick(which), span(length)),
+        FleetEvent::FreezeGate(which, length) => fleet.freeze_gate(pick(which), span(length)),
+        FleetEvent::CutEntry(which, length) => fleet.cut_entry(pick(which), span(length)),
+        FleetEvent::CutGate(which, length) => fleet.cut_gate(pick(which), span(length)),
+        FleetEvent::Reset(which) => fleet.reset_connections(pick(which)),
+        FleetEvent::Silence(which) => fleet.silence_connections(pick(which)),
+        FleetEvent::CrashWorker(which) => fleet.crash_worker(pick(which)),
+        FleetEvent::LateReport(which) => fleet.late_report(pick(which)),
+        FleetEvent::MuteWorker(which, length) => {
             let until_us = fleet.now_us + span(length);
             fleet.workers[pick(which)].mute_until_us = until_us;
         }
-        Happening::HangWorker(which) => {
+        FleetEvent::HangWorker(which) => {
             let worker = &mut fleet.workers[pick(which)];
             worker.hung = !worker.hung;
         }
-        Happening::LoseOrders => fleet.unanswered = 30,
-        Happening::AnswerOrders => fleet.unanswered = 0,
-        Happening::Evacuate(which, length) => fleet.evacuate(pick(which), span(length)),
-        Happening::TakeBack(which) => fleet.take_back(pick(which)),
-        Happening::Restart => restart(fleet),
-        Happening::Wait(length) => fleet.run_for(u64::from(length) * 4_000),
+        FleetEvent::LoseOrders => fleet.unanswered = 30,
+        FleetEvent::AnswerOrders => fleet.unanswered = 0,
+        FleetEvent::Evacuate(which, length) => fleet.evacuate(pick(which), span(length)),
+        FleetEvent::TakeBack(which) => fleet.take_back(pick(which)),
+        FleetEvent::Restart => start_all(fleet),
+        FleetEvent::Wait(length) => fleet.run_for(u64::from(length) * 4_000),
     }
     fleet.run_for(u64::from(ephemeral_fleet::STEP_US as u32) * 4);
 }
 
-fn restart(fleet: &mut Fleet) {
+fn start_all(fleet: &mut Fleet) {
     for index in 0..3 {
         fleet.start_entry(index);
         fleet.start_gate(index);
     }
 }
 
-/// What happens in the case of this seed.
-fn draw<H: TypeGenerator>(seed: u64) -> Vec<H> {
+/// The events of the case with this seed.
+fn random_events<H: TypeGenerator>(seed: u64) -> Vec<H> {
     let mut rng = StdRng::seed_from_u64(seed);
     let bytes: Vec<u8> = (0..4_096).map(|_| rng.random()).collect();
     let mut driver = ByteSliceDriver::new(&bytes, &Options::default());
-    (0..LENGTH)
+    (0..EVENTS_PER_CASE)
         .filter_map(|_| H::generate(&mut driver))
         .collect()
 }
 
-/// Plays one case and returns its fleet.
-fn play(seed: u64, limits: Limits, without: Without) -> Fleet {
+/// Runs one case and returns its fleet.
+fn run_case(seed: u64, limits: Limits, without: Without) -> Fleet {
     let mut fleet = Fleet::new(seed, limits, without);
-    for happening in draw(seed) {
-        apply(&mut fleet, happening);
+    for event in random_events(seed) {
+        apply_event(&mut fleet, event);
     }
     fleet
 }
 
-/// Mends everything and lets the fleet come to rest.
+/// Repairs all failures and runs the fleet until all jobs should be answered.
 fn settle(fleet: &mut Fleet) {
     fleet.unanswered = 0;
     for worker in &mut fleet.workers {
         worker.hung = false;
     }
     (0..3).for_each(|gate| fleet.take_back(gate));
-    restart(fleet);
+    start_all(fleet);
     fleet.run_for(60_000_000);
 }
 
-fn cases() -> u64 {
+fn case_count() -> u64 {
     let given = std::env::var("EPHEMERAL_CASES").ok();
-    given.and_then(|text| text.parse().ok()).unwrap_or(CASES)
+    given
+        .and_then(|text| text.parse().ok())
+        .unwrap_or(DEFAULT_CASES)
 }
 
-/// Seen: two of three failure domains stay evacuated, and a job whose four tasks take 2 s
-/// each is not answered in two minutes on the third, which has room for all of them. Cause:
-/// a worker had been lost under its tasks, and a gate keeps such tasks apart, whatever other
-/// gates there are; the entry sent them there again and again, every 10 ms.
+/// Tasks of a lost worker must not be rejected repeatedly by the only gate that is left.
 #[test]
-fn a_job_is_served_where_one_failure_domain_is_left() {
-    let mut fleet = play(68, limits(), Without::default());
+fn job_is_served_with_one_failure_domain_left() {
+    let mut fleet = run_case(68, limits(), Without::default());
     fleet.unanswered = 0;
     for worker in &mut fleet.workers {
         worker.hung = false;
     }
-    restart(&mut fleet);
+    start_all(&mut fleet);
     fleet.run_for(60_000_000);
     assert_eq!(fleet.violations, Vec::<String>::new());
     assert_eq!(fleet.unanswered_without_losses(), 0);
 }
 
 #[test]
-fn promises_hold_under_arbitrary_failures() {
+fn guarantees_hold_under_random_failures() {
     let mut starts = 0;
     let mut completed = 0;
-    for seed in 0..cases() {
-        let mut fleet = play(seed, limits(), Without::default());
+    for seed in 0..case_count() {
+        let mut fleet = run_case(seed, limits(), Without::default());
         settle(&mut fleet);
         assert_eq!(fleet.violations, Vec::<String>::new(), "seed {seed}");
         assert_eq!(fleet.unanswered_without_losses(), 0, "seed {seed}");
@@ -157,34 +155,36 @@
     assert!(completed > 300, "{completed} completed");
 }
 
-/// What happens to sessions besides.
+/// Events that also open, close and idle sessions.
 #[derive(Clone, Copy, Debug, TypeGenerator)]
-enum Sessions {
-    Otherwise(Happening),
-    AndThen(Happening),
-    /// Nothing happens for so long that sessions without work rest.
-    Rest(u8),
+enum SessionEvent {
+    Fleet(FleetEvent),
+    /// Same as `Fleet`; makes these events more frequent.
+    FleetAgain(FleetEvent),
+    /// A pause after which sessions without work become idle.
+    Idle(u8),
     Part(u8, u8),
     Join(u8),
 }
 
-fn apply_to_sessions(fleet: &mut Fleet, change: Sessions) {
+fn apply_session_event(fleet: &mut Fleet, change: SessionEvent) {
     match change {
-        Sessions::Otherwise(happening) | Sessions::AndThen(happening) => apply(fleet, happening),
-        Sessions::Rest(length) => fleet.run_for(1_000_000 + u64::from(length) * 12_000),
-        Sessions::Part(entry, gate) => fleet.part(usize::from(entry % 3), usize::from(gate % 3)),
-        Sessions::Join(entry) => fleet.join(usize::from(entry % 3)),
+        SessionEvent::Fleet(event) | SessionEvent::FleetAgain(event) => apply_event(fleet, event),
+        SessionEvent::Idle(length) => fleet.run_for(1_000_000 + u64::from(length) * 12_000),
+        SessionEvent::Part(entry, gate) => {
+            fleet.part(usize::from(entry % 3), usize::from(gate % 3))
+        }
+        SessionEvent::Join(entry) => fleet.join(usize::from(entry % 3)),
     }
 }
 
-/// The same failures while sessions rest, wake, and move from gate to gate.
 #[test]
-fn promises_hold_while_sessions_rest_and_move() {
+fn guarantees_hold_while_sessions_idle_and_move() {
     let mut starts = 0;
-    for seed in 0..cases() {
+    for seed in 0..case_count() {
         let mut fleet = Fleet::new(seed, limits(), Without::default());
-        for change in draw(seed) {
-            apply_to_sessions(&mut fleet, change);
+        for change in random_events(seed) {
+            apply_session_event(&mut fleet, change);
         }
         (0..3).for_each(|entry| fleet.join(entry));
         settle(&mut fleet);
@@ -196,55 +196,55 @@
     assert!(starts > 500, "{starts} starts");
 }
 
-/// What happens to workers that start again under the name they had.
+/// Events that also restart workers under the same name.
 #[derive(Clone, Copy, Debug, TypeGenerator)]
-enum Lives {
-    Otherwise(Happening),
-    AndThen(Happening),
+enum WorkerEvent {
+    Fleet(FleetEvent),
+    /// Same as `Fleet`; makes these events more frequent.
+    FleetAgain(FleetEvent),
     Restart(u8),
-    /// Its wall clock was put back meanwhile.
+    /// The wall clock was set back before the restart.
     RestartEarlier(u8, u8),
-    /// It is down for a while; its connections are reset, or it falls silent.
+    /// The worker is down for a while and refuses connections or is silent.
     Down(u8, u8, bool),
     LateReport(u8),
     LateDeparture(u8),
 }
 
-fn apply_to_lives(fleet: &mut Fleet, change: Lives) {
+fn apply_worker_event(fleet: &mut Fleet, change: WorkerEvent) {
     let pick = |which: u8| usize::from(which % 3);
     match change {
-        Lives::Otherwise(happening) | Lives::AndThen(happening) => apply(fleet, happening),
-        Lives::Restart(which) => fleet.restart_worker(pick(which), 0),
-        Lives::RestartEarlier(which, by) => {
+        WorkerEvent::Fleet(event) | WorkerEvent::FleetAgain(event) => apply_event(fleet, event),
+        WorkerEvent::Restart(which) => fleet.restart_worker(pick(which), 0),
+        WorkerEvent::RestartEarlier(which, by) => {
             fleet.restart_worker(pick(which), u64::from(by) * 40);
         }
-        Lives::Down(which, length, refuses) => {
+        WorkerEvent::Down(which, length, refuses) => {
             let down = match refuses {
                 true => Down::Refuses,
                 false => Down::Silent,
             };
             fleet.take_down_and_restart(pick(which), down, u64::from(length) * 12_000);
         }
-        Lives::LateReport(which) => fleet.late_report(pick(which)),
-        Lives::LateDeparture(which) => fleet.late_departure(pick(which)),
+        WorkerEvent::LateReport(which) => fleet.late_report(pick(which)),
+        WorkerEvent::LateDeparture(which) => fleet.late_departure(pick(which)),
     }
 }
 
-/// Plays one case with workers that start again under the names they had.
-fn play_lives(seed: u64) -> Fleet {
+/// Runs one case with workers that restart under the same name.
+fn run_worker_restart_case(seed: u64) -> Fleet {
     let mut fleet = Fleet::with_births(seed, limits());
-    for change in draw(seed) {
-        apply_to_lives(&mut fleet, change);
+    for change in random_events(seed) {
+        apply_worker_event(&mut fleet, change);
     }
     fleet
 }
 
-/// The same failures while workers start again under the names they had.
 #[test]
-fn promises_hold_while_workers_start_again_under_their_names() {
+fn guarantees_hold_while_workers_restart_under_the_same_name() {
     let mut starts = 0;
-    for seed in 0..cases() {
-        let mut fleet = play_lives(seed);
+    for seed in 0..case_count() {
+        let mut fleet = run_worker_restart_case(seed);
         settle(&mut fleet);
         assert_eq!(fleet.violations, Vec::<String>::new(), "seed {seed}");
         assert_eq!(fleet.unanswered_without_losses(), 0, "seed {seed}");
@@ -254,27 +254,25 @@
     assert!(starts > 500, "{starts} starts");
 }
 
-/// Seen: a worker starts again at once and takes orders for the life before, with a lease by
-/// that one's clock, and falls silent before its gate hears of it. The gate counts the lease
-/// that it gave, the worker one that lasts longer. Answers by a clock that started anew tell.
+/// A restarted worker may accept a lease meant for the previous incarnation, which lasts
+/// longer on its own clock than the gate expects.
 #[test]
-fn a_worker_that_starts_again_unseen_and_falls_silent_runs_nothing_twice() {
-    let fleet = play_lives(1_782);
+fn unnoticed_worker_restart_causes_no_overlapping_runs() {
+    let fleet = run_worker_restart_case(1_782);
     assert_eq!(fleet.violations, Vec::<String>::new());
 }
 
-/// Cases among which one must break a promise once a guard is out; the rarest
-/// took 2,621.
-const BREAKING_CASES: u64 = 10_000;
+/// Number of cases of which at least one must break a guarantee without a safeguard.
+const MAX_CASES_UNTIL_VIOLATION: u64 = 10_000;
 
-/// Whether some case breaks a promise.
+/// Whether some case breaks a guarantee.
 fn breaks(limits: Limits, without: Without) -> bool {
-    let broken = |seed: u64| !play(seed, limits, without).violations.is_empty();
-    (0..BREAKING_CASES).any(broken)
+    let broken = |seed: u64| !run_case(seed, limits, without).violations.is_empty();
+    (0..MAX_CASES_UNTIL_VIOLATION).any(broken)
 }
 
 #[test]
-fn a_lease_longer_than_the_resend_pause_lets_runs_overlap() {
+fn lease_longer_than_the_resend_pause_causes_overlapping_runs() {
     let longer = Limits {
         lease: Duration::from_millis(3_000),
         ..limits()
@@ -284,7 +282,7 @@
 }
 
 #[test]
-fn a_silence_longer_than_the_resend_pause_lets_runs_overlap() {
+fn peer_timeout_longer_than_the_resend_pause_causes_overlapping_runs() {
     let longer = Limits {
         peer_timeout: Duration::from_millis(3_000),
         ..limits()
@@ -294,7 +292,7 @@
 }
 
 #[test]
-fn a_frame_that_was_held_up_must_not_be_acted_on() {
+fn acting_on_late_frames_breaks_a_guarantee() {
     let without = Without {
         frame_age: true,
         ..Without::default()
@@ -302,10 +300,9 @@
     assert!(breaks(limits(), without));
 }
 
-/// A machine may be suspended: a process whose clock left that time out would act on
-/// orders that waited meanwhile, and think that leases are in force which ran out.
+/// Otherwise a process would act on stale frames and expired leases after a suspension.
 #[test]
-fn time_in_which_a_machine_is_suspended_must_count() {
+fn ignoring_suspended_time_breaks_a_guarantee() {
     let without = Without {
         suspended_time: true,
         ..Without::default()
--- a/tests/ephemeral_subset.rs
+++ b/tests/ephemeral_subset.rs
@@ -104,8 +104,8 @@
     subset.record_demand(at(0), &unconstrained_kind(), 60 * WORKER_CPU_MILLI);
     subset.choose(at(SECOND_US / 10));
     subset.choose(at(SECOND_US / 4));
-    let wanted_gates = wanted_gates(&subset).len();
-    assert!(wanted_gates >= 235, "{wanted_gates}");
+    let count = wanted_gates(&subset).len();
+    assert!(count >= 235, "{count} wanted gates");
 }
 
 #[test]
--- a/tests/ephemeral_worker_life.rs
+++ b/tests/ephemeral_worker_life.rs
@@ -233,9 +233,7 @@
                     dials += 1;
                     bench.stopped(call.run, Err(WorkerCallError::Unanswered));
                 }
-                GateAction::Start(call) => {
-                    panic!("{} is started, though the worker is unreachable", call.run)
-                }
+                GateAction::Start(call) => panic!("{} is started", call.run),
                 _ => {}
             }
         }
--- a/tests/ephemeral_worker_speeds.rs
+++ b/tests/ephemeral_worker_speeds.rs
@@ -185,7 +185,7 @@
     const SECOND_US: u64 = 1_000_000;
     const FULL_LOAD: f64 = 1.59;
     let mut fleet = LargeFleet::new(12, 70);
-    fleet.schedule(WORKER_SPEEDS);
+    fleet.set_scheduling(WORKER_SPEEDS);
     let slowness = |worker: usize| if worker.is_multiple_of(4) { 1.82 } else { 0.83 };
     fleet.slowness = (0..70).map(slowness).collect();
     fleet.tail = (0.03, 7.0);
@@ -194,8 +194,11 @@
     fleet.run(2 * SECOND_US, 0.0);
     fleet.run(2 * SECOND_US, load);
     let counts = fleet.run(4 * SECOND_US, load);
-    println!("{fraction}: {:.3} in time, {counts:?}", counts.in_time());
-    counts.in_time()
+    println!(
+        "{fraction}: {:.3} in time, {counts:?}",
+        counts.fraction_in_time()
+    );
+    counts.fraction_in_time()
 }
 
 /// Means instead of medians would mark nearly every worker slow.
--- a/tests/large_fleet/entries.rs
+++ b/tests/large_fleet/entries.rs
@@ -1,4 +1,4 @@
-//! The entries of the large fleet.
+//! Simulated entries of the large fleet.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
@@ -16,45 +16,44 @@
 use winghold::logging;
 use winghold::time::{Moment, micros};
 
-use super::{Flight, JobKind, LargeFleet, STEP_US, TASK_CPU};
+use super::{FrameInTransit, JobKind, LargeFleet, STEP_US, TASK_CPU};
 
-/// How long callers wait.
-const CALLER_WAITS_US: u64 = 5_000_000;
+const CALLER_TIMEOUT_US: u64 = 5_000_000;
 
-/// What an entry has not handled yet.
+/// Input that an entry has not handled yet.
 enum Input {
     Job(JobId),
-    Frame(Flight<ToEntry>),
+    Frame(FrameInTransit<ToEntry>),
 }
 
-pub struct EntrySide {
+pub struct EntryProcess {
     pub dispatcher: Dispatcher,
     dialer: Dialer,
     inbox: VecDeque<Input>,
-    /// Processor time that a frame or a job takes.
+    /// CPU time per frame or job.
     pub input_us: u64,
-    /// Until when it handles what it has read, and sends nothing.
+    /// End of the time in which the entry handles its last inputs and sends nothing.
     busy_until_us: u64,
-    turned_us: u64,
-    /// What it does at the end of its turn.
-    pending: Vec<DispatchAction>,
+    last_tick_us: u64,
+    /// Actions of the current tick, executed when its inputs are handled.
+    pending_actions: Vec<DispatchAction>,
 }
 
-impl EntrySide {
-    pub fn new(now: Moment, me: ProcessId, limits: Limits, records: &[GateRecord]) -> EntrySide {
+impl EntryProcess {
+    pub fn new(now: Moment, me: ProcessId, limits: Limits, records: &[GateRecord]) -> EntryProcess {
         let mut dialer = Dialer::default();
         let known = GateChanges::from(records.to_vec());
         let mut dispatcher = Dispatcher::new(me, limits, logging::discard());
         dispatcher.update_gates(now, &known);
         dialer.update_records(now, known);
-        EntrySide {
+        EntryProcess {
             dispatcher,
             dialer,
             inbox: VecDeque::new(),
             input_us: 0,
             busy_until_us: 0,
-            turned_us: now.mono_us,
-            pending: Vec::new(),
+            last_tick_us: now.mono_us,
+            pending_actions: Vec::new(),
         }
     }
 
@@ -79,95 +78,98 @@
         };
         let waiter = WaiterId(id.0);
         self.dispatcher
-            .submit(now, waiter, spec, kind.route(), CALLER_WAITS_US);
+            .submit(now, waiter, spec, kind.route(), CALLER_TIMEOUT_US);
     }
 }
 
 impl LargeFleet {
     pub(super) fn submit(&mut self, entry: usize, id: JobId) {
-        self.open.insert(id, self.now_us);
+        self.open_jobs.insert(id, self.now_us);
         match &mut self.entries[entry] {
-            Some(side) => side.inbox.push_back(Input::Job(id)),
+            Some(process) => process.inbox.push_back(Input::Job(id)),
             None => self.counts.unknown += 1,
         }
     }
 
-    pub(super) fn entry_gets(&mut self, flight: Flight<ToEntry>) {
-        let Some((entry, _)) = self.sessions.get(&flight.session).copied() else {
+    pub(super) fn receive_at_entry(&mut self, frame: FrameInTransit<ToEntry>) {
+        let Some((entry, _)) = self.sessions.get(&frame.session).copied() else {
             return;
         };
         match &mut self.entries[entry] {
-            Some(side) if side.input_us > 0 => side.inbox.push_back(Input::Frame(flight)),
-            _ => self.entry_reads(entry, flight),
+            Some(process) if process.input_us > 0 => process.inbox.push_back(Input::Frame(frame)),
+            _ => self.handle_entry_frame(entry, frame),
         }
     }
 
-    fn entry_reads(&mut self, index: usize, flight: Flight<ToEntry>) {
+    fn handle_entry_frame(&mut self, index: usize, frame: FrameInTransit<ToEntry>) {
         let now = self.now();
-        if !self.sessions.contains_key(&flight.session) {
+        if !self.sessions.contains_key(&frame.session) {
             return;
         }
-        if now.mono_us - flight.sent_us > micros(self.limits.max_frame_age) + STEP_US {
-            self.close(flight.session);
+        if now.mono_us - frame.sent_us > micros(self.limits.max_frame_age) + STEP_US {
+            self.close(frame.session);
             return;
         }
-        let Some(side) = &mut self.entries[index] else {
+        let Some(process) = &mut self.entries[index] else {
             return;
         };
-        let waited_us = now.mono_us.saturating_sub(flight.at_us);
-        side.dispatcher.record_frame_wait(now, waited_us);
-        side.dispatcher.frame_received(now, flight.session);
-        for message in flight.messages {
+        let waited_us = now.mono_us.saturating_sub(frame.at_us);
+        process.dispatcher.record_frame_wait(now, waited_us);
+        process.dispatcher.frame_received(now, frame.session);
+        for message in frame.messages {
             if matches!(&message, ToEntry::Ended { end, .. } if *end != RunEnd::Done) {
-                self.counts.elsewhere += 1;
+                self.counts.not_done_runs += 1;
             }
-            side.dispatcher.handle_message(now, flight.session, message);
+            process
+                .dispatcher
+                .handle_message(now, frame.session, message);
         }
     }
 
-    /// A turn handles all that has come, and what it decides goes out at its end.
-    pub(super) fn entry_turn(&mut self, index: usize) {
+    /// Handles all queued inputs; the resulting actions are executed after their CPU time.
+    pub(super) fn tick_entry(&mut self, index: usize) {
         let now = self.now();
-        let Some(side) = &mut self.entries[index] else {
+        let Some(process) = &mut self.entries[index] else {
             return;
         };
-        if now.mono_us < side.busy_until_us {
+        if now.mono_us < process.busy_until_us {
             return;
         }
-        let pending = std::mem::take(&mut side.pending);
-        self.carry_out_entry(index, pending);
-        let Some(side) = &mut self.entries[index] else {
+        let pending_actions = std::mem::take(&mut process.pending_actions);
+        self.execute_entry_actions(index, pending_actions);
+        let Some(process) = &mut self.entries[index] else {
             return;
         };
-        let late_us = now.mono_us.saturating_sub(side.turned_us + STEP_US);
-        side.turned_us = now.mono_us;
-        side.dispatcher
+        let late_us = now.mono_us.saturating_sub(process.last_tick_us + STEP_US);
+        process.last_tick_us = now.mono_us;
+        process
+            .dispatcher
             .record_late_tick(now, Duration::from_micros(late_us));
-        side.dispatcher.tick(now);
-        let inputs = std::mem::take(&mut side.inbox);
-        let takes_us = side.input_us * inputs.len() as u64;
+        process.dispatcher.tick(now);
+        let inputs = std::mem::take(&mut process.inbox);
+        let cpu_us = process.input_us * inputs.len() as u64;
         for input in inputs {
             self.handle(index, input);
         }
         self.dial(index);
-        let Some(side) = &mut self.entries[index] else {
+        let Some(process) = &mut self.entries[index] else {
             return;
         };
-        side.busy_until_us = now.mono_us + takes_us;
-        let actions = side.dispatcher.take_actions(now);
-        match side.input_us {
-            0 => self.carry_out_entry(index, actions),
-            _ => side.pending = actions,
+        process.busy_until_us = now.mono_us + cpu_us;
+        let actions = process.dispatcher.take_actions(now);
+        match process.input_us {
+            0 => self.execute_entry_actions(index, actions),
+            _ => process.pending_actions = actions,
         }
     }
 
     fn handle(&mut self, index: usize, input: Input) {
         let now = self.now();
         match input {
-            Input::Frame(flight) => self.entry_reads(index, flight),
+            Input::Frame(frame) => self.handle_entry_frame(index, frame),
             Input::Job(id) => {
-                if let Some(side) = &mut self.entries[index] {
-                    side.submit(now, id);
+                if let Some(process) = &mut self.entries[index] {
+                    process.submit(now, id);
                 }
             }
         }
@@ -175,11 +177,11 @@
 
     fn dial(&mut self, index: usize) {
         let now = self.now();
-        let Some(side) = &mut self.entries[index] else {
+        let Some(process) = &mut self.entries[index] else {
             return;
         };
-        let dispatcher = &side.dispatcher;
-        let attempts = side
+        let dispatcher = &process.dispatcher;
+        let attempts = process
             .dialer
             .due_attempts(now, |gate| dispatcher.wants_session(gate));
         for attempt in attempts {
@@ -192,18 +194,18 @@
         let gate: usize = name.trim_start_matches("gate-").parse().expect("a number");
         self.last_session += 1;
         let session = SessionId(self.last_session);
-        if let Some(side) = &mut self.entries[entry]
+        if let Some(process) = &mut self.entries[entry]
             && self.gates[gate].is_some()
         {
             self.sessions.insert(session, (entry, gate));
-            side.dialer.connected(name, || session);
-            side.dispatcher.connected(now, name, session);
+            process.dialer.connected(name, || session);
+            process.dispatcher.connected(now, name, session);
         }
     }
 
-    fn answered(&mut self, index: usize, id: JobId, code: ResultCode) {
-        let came_us = self.open.remove(&id).unwrap_or(self.now_us);
-        let late = self.now_us > came_us + self.objective_us(id);
+    fn record_answer(&mut self, index: usize, id: JobId, code: ResultCode) {
+        let submitted_us = self.open_jobs.remove(&id).unwrap_or(self.now_us);
+        let late = self.now_us > submitted_us + self.objective_us(id);
         let kind = &mut self.counts.kinds[usize::from(JobKind::of(id).priority)];
         match code {
             ResultCode::Complete => {
@@ -231,7 +233,7 @@
         }
     }
 
-    fn carry_out_entry(&mut self, index: usize, actions: Vec<DispatchAction>) {
+    fn execute_entry_actions(&mut self, index: usize, actions: Vec<DispatchAction>) {
         let mut outbox: BTreeMap<SessionId, Vec<ToGate>> = BTreeMap::new();
         for action in actions {
             match action {
@@ -242,12 +244,12 @@
                     self.close(session);
                 }
                 DispatchAction::Redial(name) => {
-                    if let Some(side) = &mut self.entries[index] {
-                        side.dialer.suspect_connection(&name);
+                    if let Some(process) = &mut self.entries[index] {
+                        process.dialer.suspect_connection(&name);
                     }
                 }
                 DispatchAction::Reply { waiter, answer } => {
-                    self.answered(index, JobId(waiter.0), answer.code);
+                    self.record_answer(index, JobId(waiter.0), answer.code);
                 }
                 DispatchAction::ConfigReceived(_) => {}
             }
@@ -255,7 +257,7 @@
         for (session, messages) in outbox {
             self.count(frame_kind(&messages));
             let (at_us, sent_us) = (self.now_us + STEP_US, self.now_us);
-            self.to_gates.push_back(Flight {
+            self.to_gates.push_back(FrameInTransit {
                 at_us,
                 session,
                 sent_us,
--- a/tests/large_fleet/gates.rs
+++ b/tests/large_fleet/gates.rs
@@ -1,4 +1,4 @@
-//! The gates of the large fleet and what their workers answer.
+//! Simulated gates of the large fleet and the answers of their workers.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -11,68 +11,67 @@
 use winghold::logging;
 use winghold::time::Moment;
 
-use super::{Flight, LargeFleet, STEP_US};
+use super::{FrameInTransit, LargeFleet, STEP_US};
 
-/// Pause between two reports of a worker.
-const REPORT_US: u64 = 1_500_000;
+const REPORT_INTERVAL_US: u64 = 1_500_000;
 
 enum Answer {
     Start(StartCall, StartAnswer),
     Stop(StopCall),
-    Hold(Moment, PollCall),
+    Poll(Moment, PollCall),
 }
 
-pub struct GateSide {
+pub struct GateProcess {
     pub gate: Gate,
     answers: VecDeque<(u64, Answer)>,
-    report_at_us: u64,
+    next_report_us: u64,
 }
 
-impl GateSide {
-    pub fn new(me: ProcessId, limits: Limits) -> GateSide {
-        GateSide {
+impl GateProcess {
+    pub fn new(me: ProcessId, limits: Limits) -> GateProcess {
+        GateProcess {
             gate: Gate::new(me, limits, logging::discard()),
             answers: VecDeque::new(),
-            report_at_us: 0,
+            next_report_us: 0,
         }
     }
 }
 
 impl LargeFleet {
-    pub(super) fn gate_reads(&mut self, flight: Flight<ToGate>) {
+    pub(super) fn handle_gate_frame(&mut self, frame: FrameInTransit<ToGate>) {
         let now = self.now();
-        let Some((_, gate)) = self.sessions.get(&flight.session).copied() else {
+        let Some((_, gate)) = self.sessions.get(&frame.session).copied() else {
             return;
         };
-        if let Some(side) = &mut self.gates[gate] {
-            for message in flight.messages {
-                side.gate.handle_message(now, flight.session, message);
+        if let Some(process) = &mut self.gates[gate] {
+            for message in frame.messages {
+                process.gate.handle_message(now, frame.session, message);
             }
-            side.gate.frame_received(now, flight.session);
+            process.gate.frame_received(now, frame.session);
         }
     }
 
-    pub(super) fn gate_turn(&mut self, index: usize) {
+    pub(super) fn tick_gate(&mut self, index: usize) {
         let now = self.now();
         self.report(index, now);
-        self.worker_answers(index, now);
-        let Some(side) = &mut self.gates[index] else {
+        self.deliver_worker_answers(index, now);
+        let Some(process) = &mut self.gates[index] else {
             return;
         };
-        side.gate.tick(now);
-        let actions = side.gate.take_actions(now);
-        self.carry_out_gate(index, actions);
+        process.gate.tick(now);
+        let actions = process.gate.take_actions(now);
+        self.execute_gate_actions(index, actions);
     }
 
     fn report(&mut self, index: usize, now: Moment) {
         let worker = &self.workers[index];
-        let Some(side) = &mut self.gates[index] else {
+        let Some(process) = &mut self.gates[index] else {
             return;
         };
-        if now.mono_us < side.report_at_us {
+        if now.mono_us < process.next_report_us {
             return;
         }
-        side.report_at_us = now.mono_us + REPORT_US;
+        process.next_report_us = now.mono_us + REPORT_INTERVAL_US;
         let report = WorkerReport {
             id: worker.id.clone(),
             service: "s".into(),
@@ -84,41 +83,45 @@
             clock_ms: worker.clock_ms(now.mono_us),
             sequence: now.mono_us,
         };
-        side.gate.worker_report(now, report);
+        process.gate.worker_report(now, report);
     }
 
-    fn worker_answers(&mut self, index: usize, now: Moment) {
+    fn deliver_worker_answers(&mut self, index: usize, now: Moment) {
         let worker = &mut self.workers[index];
-        let Some(side) = &mut self.gates[index] else {
+        let Some(process) = &mut self.gates[index] else {
             return;
         };
-        for (at_us, answer) in std::mem::take(&mut side.answers) {
-            let woken = matches!(&answer, Answer::Hold(_, call)
+        for (at_us, answer) in std::mem::take(&mut process.answers) {
+            let woken = matches!(&answer, Answer::Poll(_, call)
                 if worker.has_ended_since(call.acked_end));
             match answer {
                 answer if at_us > now.mono_us && !woken => {
-                    side.answers.push_back((at_us, answer));
+                    process.answers.push_back((at_us, answer));
                 }
                 Answer::Start(call, answer) => {
                     let worker = &call.worker;
-                    side.gate.start_answered(now, worker, call.run, Ok(answer));
+                    process
+                        .gate
+                        .start_answered(now, worker, call.run, Ok(answer));
                 }
                 Answer::Stop(call) => {
-                    side.gate.stop_answered(now, &call.worker, call.run, Ok(()));
+                    process
+                        .gate
+                        .stop_answered(now, &call.worker, call.run, Ok(()));
                 }
-                Answer::Hold(sent, call) => {
-                    let renewed = PollCall {
+                Answer::Poll(sent, call) => {
+                    let without_lease = PollCall {
                         lease_until_ms: None,
                         ..call.clone()
                     };
-                    let reply = worker.hold(now.mono_us, &renewed);
-                    side.gate.poll_answered(now, sent, &call, Ok(reply));
+                    let reply = worker.hold(now.mono_us, &without_lease);
+                    process.gate.poll_answered(now, sent, &call, Ok(reply));
                 }
             }
         }
     }
 
-    fn carry_out_gate(&mut self, index: usize, actions: Vec<GateAction>) {
+    fn execute_gate_actions(&mut self, index: usize, actions: Vec<GateAction>) {
         let now = self.now();
         let mut outbox: BTreeMap<SessionId, Vec<ToEntry>> = BTreeMap::new();
         for action in actions {
@@ -135,23 +138,23 @@
                     self.counts.starts += u64::from(began);
                     let clock_ms = Some(worker.clock_ms(now.mono_us));
                     let answer = Answer::Start(call, StartAnswer { reply, clock_ms });
-                    self.answer_in(index, STEP_US, answer);
+                    self.schedule_answer(index, STEP_US, answer);
                 }
                 GateAction::Stop(call) => {
                     let _ = self.workers[index].stop(now.mono_us, call.run, call.fence);
-                    self.answer_in(index, STEP_US, Answer::Stop(call));
+                    self.schedule_answer(index, STEP_US, Answer::Stop(call));
                 }
                 GateAction::Poll(call) => {
                     let worker = &mut self.workers[index];
                     worker.hold(now.mono_us, &call);
                     let wait_us = call.wait_ms * 1_000 + STEP_US;
-                    self.answer_in(index, wait_us, Answer::Hold(now, call));
+                    self.schedule_answer(index, wait_us, Answer::Poll(now, call));
                 }
             }
         }
         for (session, messages) in outbox {
             self.count(frame_kind(&messages));
-            self.to_entries.push_back(Flight {
+            self.to_entries.push_back(FrameInTransit {
                 at_us: now.mono_us + STEP_US,
                 session,
                 sent_us: now.mono_us,
@@ -160,9 +163,9 @@
         }
     }
 
-    fn answer_in(&mut self, index: usize, wait_us: u64, answer: Answer) {
-        if let Some(side) = &mut self.gates[index] {
-            side.answers.push_back((self.now_us + wait_us, answer));
+    fn schedule_answer(&mut self, index: usize, wait_us: u64, answer: Answer) {
+        if let Some(process) = &mut self.gates[index] {
+            process.answers.push_back((self.now_us + wait_us, answer));
         }
     }
 }
--- a/tests/large_fleet/mod.rs
+++ b/tests/large_fleet/mod.rs
@@ -1,9 +1,8 @@
-//! Hundreds of processes in virtual time: dispatchers, gates and workers that keep
-//! their promises, and a count of every frame between them.
+//! Simulates hundreds of dispatchers, gates and reliable workers in virtual time and counts
+//! their frames.
 //!
-//! A frame is what one turn of a process sends on one session, as on the wire. The
-//! fleet has no failures but the loss of all power; [`super::ephemeral_fleet`] plays
-//! the others at a small size.
+//! A frame holds the messages that one tick of a process sends on one session. The only
+//! failure is a power loss; [`super::ephemeral_fleet`] simulates others.
 
 #![allow(dead_code)]
 
@@ -29,21 +28,19 @@
 
 use super::ephemeral_fleet::limits;
 use super::ephemeral_fleet::worker::FakeWorker;
-use entries::EntrySide;
-use gates::GateSide;
+use entries::EntryProcess;
+use gates::GateProcess;
 
-/// A turn of every process, and the time that a frame is under way.
+/// Interval of the ticks and transit time of a frame.
 pub const STEP_US: u64 = 5_000;
-/// Jobs a second, tasks a job and run time of the kinds of jobs, for each gate: a
-/// burst check, a report and a clock sync of a fleet at 0.6 of its room.
+/// Kinds of jobs; the rates are per gate.
 const KINDS: [JobKind; 3] = [
     JobKind::new(1.29, 8, 60_000, 0),
     JobKind::new(0.234, 4, 900_000, 2),
     JobKind::new(3.75, 2, 200_000, 1),
 ];
-/// Room that a task takes, in thousandths of a core.
 const TASK_CPU: u64 = 3_800;
-/// Callers an entry; each stays with one entry, so entries get unlike shares.
+/// Callers per entry; each caller uses one entry, so entries get different loads.
 const CALLERS_PER_ENTRY: f64 = 1.55;
 
 #[derive(Clone, Copy)]
@@ -83,15 +80,15 @@
     }
 }
 
-/// A frame under way.
-struct Flight<M> {
+/// A frame in transit.
+struct FrameInTransit<M> {
     at_us: u64,
     session: SessionId,
     sent_us: u64,
     messages: Vec<M>,
 }
 
-/// What became of the jobs of one kind.
+/// Outcomes of the jobs of one kind.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct KindCounts {
     pub in_time: u64,
@@ -101,14 +98,14 @@
 }
 
 impl KindCounts {
-    /// Part of the answered jobs that met their objective.
-    pub fn part_in_time(&self) -> f64 {
+    /// Fraction of the answered jobs that met their objective.
+    pub fn fraction_in_time(&self) -> f64 {
         let all = self.in_time + self.late + self.refused + self.unknown;
         self.in_time as f64 / all.max(1) as f64
     }
 }
 
-/// Counts of a stretch of time.
+/// Counts over a period.
 #[derive(Clone, Debug, Default)]
 pub struct Counts {
     /// By priority.
@@ -116,17 +113,17 @@
     pub frames: BTreeMap<FrameKind, u64>,
     pub starts: u64,
     pub served: u64,
-    /// Of these, answered after the objective.
+    /// Served jobs that missed their objective.
     pub late: u64,
     /// Run time of the tasks of jobs that met their objective, in microseconds.
     pub work_in_time_us: u64,
-    /// The same of the entry that is watched.
+    /// `served` and `late` of the watched entry.
     pub watched_served: u64,
     pub watched_late: u64,
     pub refused: u64,
     pub unknown: u64,
-    /// Runs of tasks that had to go elsewhere.
-    pub elsewhere: u64,
+    /// Runs that ended without being done.
+    pub not_done_runs: u64,
 }
 
 impl Counts {
@@ -134,13 +131,13 @@
         self.frames.values().sum()
     }
 
-    /// Part of the answered jobs that met their objective.
-    pub fn in_time(&self) -> f64 {
+    /// Fraction of the answered jobs that met their objective.
+    pub fn fraction_in_time(&self) -> f64 {
         let all = self.served + self.refused + self.unknown;
         (self.served - self.late) as f64 / all.max(1) as f64
     }
 
-    /// Cores that worked for jobs which met their objective, over `span_us`.
+    /// Mean number of cores that worked on jobs which met their objective, over `span_us`.
     pub fn goodput(&self, span_us: u64) -> f64 {
         let cores = TASK_CPU as f64 / 1e3;
         self.work_in_time_us as f64 * cores / span_us as f64
@@ -154,34 +151,33 @@
 pub struct LargeFleet {
     pub now_us: u64,
     limits: Limits,
-    entries: Vec<Option<EntrySide>>,
-    gates: Vec<Option<GateSide>>,
+    entries: Vec<Option<EntryProcess>>,
+    gates: Vec<Option<GateProcess>>,
     workers: Vec<FakeWorker>,
     /// Entry and gate of each open session.
     sessions: HashMap<SessionId, (usize, usize)>,
-    to_gates: VecDeque<Flight<ToGate>>,
-    to_entries: VecDeque<Flight<ToEntry>>,
+    to_gates: VecDeque<FrameInTransit<ToGate>>,
+    to_entries: VecDeque<FrameInTransit<ToEntry>>,
     /// Entry of each caller.
     callers: Vec<usize>,
-    /// Jobs that are due of each kind; grows with time.
-    due: [f64; KINDS.len()],
+    /// Jobs of each kind that are due, including a fraction of the next one.
+    due_jobs: [f64; KINDS.len()],
     rng: StdRng,
-    lives: u64,
+    last_incarnation: u64,
     last_session: u64,
     last_job: u64,
-    /// When open jobs came.
-    open: HashMap<JobId, u64>,
+    /// Submission times of open jobs.
+    open_jobs: HashMap<JobId, u64>,
     watched: Option<usize>,
     scheduling: Scheduling,
-    /// Run time of a task on each worker, as a multiple of its kind's.
+    /// Run time factor of each worker.
     pub slowness: Vec<f64>,
-    /// Part of the tasks that run for several times as long, and how many times.
+    /// Fraction of tasks that run longer, and their run time factor.
     pub tail: (f64, f64),
     pub counts: Counts,
 }
 
 impl LargeFleet {
-    /// A fleet that has just started.
     pub fn new(entries: usize, gates: usize) -> LargeFleet {
         let mut rng = StdRng::seed_from_u64(entries as u64);
         let callers = (entries as f64 * CALLERS_PER_ENTRY) as usize;
@@ -197,12 +193,12 @@
             to_gates: VecDeque::new(),
             to_entries: VecDeque::new(),
             callers: callers.collect(),
-            due: [0.0; KINDS.len()],
+            due_jobs: [0.0; KINDS.len()],
             rng,
-            lives: 0,
+            last_incarnation: 0,
             last_session: 0,
             last_job: 0,
-            open: HashMap::new(),
+            open_jobs: HashMap::new(),
             watched: None,
             scheduling: Scheduling::default(),
             slowness: vec![1.0; gates],
@@ -213,39 +209,39 @@
         fleet
     }
 
-    fn next_life(&mut self, name: String) -> ProcessId {
-        self.lives += 1;
+    fn next_process_id(&mut self, name: String) -> ProcessId {
+        self.last_incarnation += 1;
         ProcessId {
             name: name.into(),
-            incarnation: self.lives,
+            incarnation: self.last_incarnation,
         }
     }
 
     fn start_all(&mut self) {
         let records: Vec<GateRecord> = (0..self.gates.len()).map(record).collect();
         for index in 0..self.gates.len() {
-            let me = self.next_life(gate_name(index));
-            self.gates[index] = Some(GateSide::new(me, self.limits));
+            let me = self.next_process_id(gate_name(index));
+            self.gates[index] = Some(GateProcess::new(me, self.limits));
         }
         for index in 0..self.entries.len() {
-            let me = self.next_life(format!("entry-{index}"));
+            let me = self.next_process_id(format!("entry-{index}"));
             let now = self.now();
-            let mut side = EntrySide::new(now, me, self.limits, &records);
-            side.dispatcher.set_scheduling(self.scheduling);
-            self.entries[index] = Some(side);
+            let mut process = EntryProcess::new(now, me, self.limits, &records);
+            process.dispatcher.set_scheduling(self.scheduling);
+            self.entries[index] = Some(process);
         }
     }
 
-    /// The configuration turns on parts of the scheduler.
-    pub fn schedule(&mut self, scheduling: Scheduling) {
+    /// Sets the enabled parts of the scheduler, now and after restarts.
+    pub fn set_scheduling(&mut self, scheduling: Scheduling) {
         self.scheduling = scheduling;
-        for side in self.entries.iter_mut().flatten() {
-            side.dispatcher.set_scheduling(scheduling);
+        for process in self.entries.iter_mut().flatten() {
+            process.dispatcher.set_scheduling(scheduling);
         }
     }
 
-    /// Run time of a task on a worker of usual speed.
-    fn usual_us(&self, job: JobId, index: u32) -> f64 {
+    /// Run time of a task on a worker of normal speed.
+    fn base_run_us(&self, job: JobId, index: u32) -> f64 {
         let (part, times) = self.tail;
         let hash = xxh3_64(format!("{job}/{index}").as_bytes());
         let is_long = (hash as f64 / u64::MAX as f64) < part;
@@ -253,20 +249,20 @@
         JobKind::of(job).run_us as f64 * times
     }
 
-    /// Run time of a task on a worker.
+    /// Run time of a task on this worker.
     fn work_us(&self, worker: usize, run: RunId) -> u64 {
-        (self.usual_us(run.job, run.index) * self.slowness[worker]) as u64
+        (self.base_run_us(run.job, run.index) * self.slowness[worker]) as u64
     }
 
-    /// Time in which a job is to be answered: by its longest task.
+    /// Time limit for a job to be in time, based on its longest task.
     fn objective_us(&self, job: JobId) -> u64 {
         let kind = JobKind::of(job);
-        let tasks = (0..kind.tasks).map(|index| self.usual_us(job, index));
+        let tasks = (0..kind.tasks).map(|index| self.base_run_us(job, index));
         let route = kind.route();
         (tasks.fold(0.0, f64::max) * route.stretch) as u64 + route.slack_us
     }
 
-    /// All processes lose power, and are back after `away_us`.
+    /// Stops all processes and starts them again after `away_us`.
     pub fn lose_power(&mut self, away_us: u64) {
         self.entries.iter_mut().for_each(|entry| *entry = None);
         self.gates.iter_mut().for_each(|gate| *gate = None);
@@ -277,13 +273,13 @@
         self.start_all();
     }
 
-    /// An entry that takes `input_us` of processor time for each frame and job, and has
-    /// `callers` more than others. Its answers are counted by themselves.
-    pub fn press(&mut self, index: usize, input_us: u64, callers: usize) {
+    /// Slows an entry to `input_us` of CPU time per frame or job, gives it `callers` more
+    /// callers, and counts its answers separately.
+    pub fn slow_down_entry(&mut self, index: usize, input_us: u64, callers: usize) {
         self.watched = Some(index);
         self.callers.extend(std::iter::repeat_n(index, callers));
-        if let Some(side) = &mut self.entries[index] {
-            side.input_us = input_us;
+        if let Some(process) = &mut self.entries[index] {
+            process.input_us = input_us;
         }
     }
 
@@ -294,13 +290,12 @@
         }
     }
 
-    /// Runs with `load` times the usual jobs; returns what was counted.
+    /// Runs for `span_us` with `load` times the base rate of all kinds; returns the counts.
     pub fn run(&mut self, span_us: u64, load: f64) -> Counts {
         self.run_kinds(span_us, [load; KINDS.len()])
     }
 
-    /// The same with a load for each kind: 8 tasks of 60 ms at priority 0, 4 of 900 ms at
-    /// priority 2, 2 of 200 ms at priority 1.
+    /// Like [`Self::run`] with a load for each of `KINDS`, in their order.
     pub fn run_kinds(&mut self, span_us: u64, loads: [f64; KINDS.len()]) -> Counts {
         self.counts = Counts::default();
         let until_us = self.now_us + span_us;
@@ -312,10 +307,10 @@
             self.submit_due(loads);
             self.deliver();
             for index in 0..self.entries.len() {
-                self.entry_turn(index);
+                self.tick_entry(index);
             }
             for index in 0..self.gates.len() {
-                self.gate_turn(index);
+                self.tick_gate(index);
             }
         }
         self.counts.clone()
@@ -324,10 +319,10 @@
     fn submit_due(&mut self, loads: [f64; KINDS.len()]) {
         let seconds = STEP_US as f64 / 1e6;
         for (index, kind) in KINDS.iter().enumerate() {
-            self.due[index] +=
+            self.due_jobs[index] +=
                 kind.per_s_and_gate * self.gates.len() as f64 * seconds * loads[index];
-            while self.due[index] >= 1.0 {
-                self.due[index] -= 1.0;
+            while self.due_jobs[index] >= 1.0 {
+                self.due_jobs[index] -= 1.0;
                 self.last_job += 1;
                 let id = JobId(self.last_job * KINDS.len() as u64 + index as u64);
                 let caller = self.rng.random_range(0..self.callers.len());
@@ -337,11 +332,11 @@
     }
 
     fn deliver(&mut self) {
-        while let Some(flight) = self.to_gates.pop_front_if(|one| one.at_us <= self.now_us) {
-            self.gate_reads(flight);
+        while let Some(frame) = self.to_gates.pop_front_if(|one| one.at_us <= self.now_us) {
+            self.handle_gate_frame(frame);
         }
-        while let Some(flight) = self.to_entries.pop_front_if(|one| one.at_us <= self.now_us) {
-            self.entry_gets(flight);
+        while let Some(frame) = self.to_entries.pop_front_if(|one| one.at_us <= self.now_us) {
+            self.receive_at_entry(frame);
         }
     }
 
@@ -349,11 +344,11 @@
         let Some((entry, gate)) = self.sessions.remove(&session) else {
             return;
         };
-        if let Some(side) = &mut self.entries[entry] {
-            side.closed(session);
+        if let Some(process) = &mut self.entries[entry] {
+            process.closed(session);
         }
-        if let Some(side) = &mut self.gates[gate] {
-            side.gate.session_closed(session);
+        if let Some(process) = &mut self.gates[gate] {
+            process.gate.session_closed(session);
         }
     }
 
@@ -363,13 +358,13 @@
         }
     }
 
-    /// Entries that take jobs now.
+    /// Number of entries with an open gate.
     pub fn ready_entries(&self) -> usize {
-        let ready = |entry: &&EntrySide| entry.dispatcher.open_gates() > 0;
+        let ready = |entry: &&EntryProcess| entry.dispatcher.open_gates() > 0;
         self.entries.iter().flatten().filter(ready).count()
     }
 
-    /// Gates with a session of some entry.
+    /// Number of gates with at least one session.
     pub fn covered_gates(&self) -> usize {
         let mut covered = vec![false; self.gates.len()];
         for (_, gate) in self.sessions.values() {
@@ -383,7 +378,7 @@
     format!("gate-{index}")
 }
 
-/// Every third worker is half as large again.
+/// Capacity of a worker; every third is 50 % larger.
 fn capacity(index: usize) -> Resources {
     Resources {
         cpu_milli: if index % 3 == 2 { 24_000 } else { 16_000 },
--- a/tests/narrow_links/mod.rs
+++ b/tests/narrow_links/mod.rs
@@ -1,8 +1,7 @@
-//! Entries on narrow links and the gates they talk to, in virtual time.
+//! Simulates entries on narrow links and their gates in virtual time.
 //!
-//! Frames of an entry share its link, each way, in the order in which they were
-//! sent; a gate's link is wide. A frame that was under way for too long ends its
-//! session, as in the processes' own loops, and the entry connects anew.
+//! The frames of an entry share its link in each direction, in sending order; links of gates
+//! are unlimited. A late frame ends its session, and the entry reconnects.
 
 use std::collections::{HashMap, VecDeque};
 use std::sync::Arc;
@@ -17,56 +16,56 @@
 use winghold::logging;
 use winghold::time::{Moment, micros};
 
-/// Bytes in a microsecond on a link of 25 Mbit/s.
+/// 25 Mbit/s.
 const BYTES_PER_US: f64 = 3.125;
-/// One way between two machines.
-const DELAY_US: u64 = 500;
-/// A turn of a process's loop.
+/// One-way network delay.
+const LINK_DELAY_US: u64 = 500;
+/// Interval of the process loops.
 const STEP_US: u64 = 1_000;
 
 /// One direction of a link.
 #[derive(Default)]
 struct Link {
     free_us: u64,
-    carried: usize,
+    sent_bytes: usize,
 }
 
 impl Link {
-    /// When a frame that is sent now has arrived.
-    fn carry(&mut self, now_us: u64, bytes: usize) -> u64 {
+    /// Transmits a frame; returns its arrival time.
+    fn transmit(&mut self, now_us: u64, bytes: usize) -> u64 {
         let took_us = (bytes as f64 / BYTES_PER_US) as u64;
         self.free_us = self.free_us.max(now_us) + took_us;
-        self.carried += bytes;
-        self.free_us + DELAY_US
+        self.sent_bytes += bytes;
+        self.free_us + LINK_DELAY_US
     }
 }
 
-struct EntryMachine {
+struct EntryNode {
     dispatcher: Dispatcher,
     up: Link,
     down: Link,
-    /// The configuration in force, and since when.
+    /// Version of the applied configuration and the time at which it was applied.
     config: Option<(u64, u64)>,
 }
 
-/// Frames on their way: arrival, the sender's clock, messages.
-struct Way<M> {
+/// Frames in transit in one direction: arrival time, sending time and messages.
+struct Channel<M> {
     frames: VecDeque<(u64, u64, Vec<M>)>,
     clock: FrameClock,
 }
 
-impl<M> Default for Way<M> {
-    fn default() -> Way<M> {
-        Way {
+impl<M> Default for Channel<M> {
+    fn default() -> Channel<M> {
+        Channel {
             frames: VecDeque::new(),
             clock: FrameClock::default(),
         }
     }
 }
 
-impl<M> Way<M> {
-    /// The next frame that has arrived, with its age.
-    fn arrived(&mut self, now: Moment) -> Option<(u64, Vec<M>)> {
+impl<M> Channel<M> {
+    /// Takes the next frame whose arrival time has passed; returns its age and messages.
+    fn receive(&mut self, now: Moment) -> Option<(u64, Vec<M>)> {
         let (at_us, ..) = self.frames.front()?;
         if *at_us > now.mono_us {
             return None;
@@ -80,24 +79,24 @@
     id: SessionId,
     entry: usize,
     gate: usize,
-    to_gate: Way<ToGate>,
-    to_entry: Way<ToEntry>,
+    to_gate: Channel<ToGate>,
+    to_entry: Channel<ToEntry>,
 }
 
-/// Entries and gates, each entry connected to each gate.
-pub struct Machines {
+/// Entries and gates, with a session between each entry and each gate.
+pub struct LinkedFleet {
     now: Moment,
     limits: Limits,
-    entries: Vec<EntryMachine>,
+    entries: Vec<EntryNode>,
     gates: Vec<Gate>,
     sessions: Vec<Session>,
     last_session: u64,
-    /// Sessions that ended, for whatever reason.
-    pub ended: usize,
+    /// Number of sessions that have ended.
+    pub ended_sessions: usize,
 }
 
-impl Machines {
-    pub fn new(entries: usize, gates: usize) -> Machines {
+impl LinkedFleet {
+    pub fn new(entries: usize, gates: usize) -> LinkedFleet {
         let limits = Limits::new(
             Duration::from_millis(1_300),
             Duration::from_secs(1),
@@ -107,7 +106,7 @@
             name: name.into(),
             incarnation: incarnation as u64 + 1,
         };
-        let entry = |index: usize| EntryMachine {
+        let entry = |index: usize| EntryNode {
             dispatcher: Dispatcher::new(
                 process(format!("entry-{index}"), index),
                 limits,
@@ -121,7 +120,7 @@
             let me = process(format!("gate-{index}"), index);
             Gate::new(me, limits, logging::discard())
         };
-        Machines {
+        LinkedFleet {
             now: Moment {
                 mono_us: 1_000_000,
                 wall_ms: 0,
@@ -131,24 +130,24 @@
             gates: (0..gates).map(gate).collect(),
             sessions: Vec::new(),
             last_session: 0,
-            ended: 0,
+            ended_sessions: 0,
         }
     }
 
-    /// An entry read a configuration in the store.
-    pub fn read(&mut self, entry: usize, document: ConfigDocument) {
-        self.put_in_force(entry, document);
+    /// Passes a configuration to an entry as if it had read it in the store.
+    pub fn load_config(&mut self, entry: usize, document: ConfigDocument) {
+        self.apply_config(entry, document);
     }
 
-    /// Version in force in an entry, and the time since then in milliseconds.
-    pub fn in_force(&self, entry: usize) -> Option<(u64, u64)> {
+    /// Version applied in an entry, and the time since then in milliseconds.
+    pub fn applied_config(&self, entry: usize) -> Option<(u64, u64)> {
         let (version, since_us) = self.entries[entry].config?;
         Some((version, (self.now.mono_us - since_us) / 1_000))
     }
 
-    /// Bytes that an entry has sent.
-    pub fn sent(&self, entry: usize) -> usize {
-        self.entries[entry].up.carried
+    /// Number of bytes that an entry has sent.
+    pub fn sent_bytes(&self, entry: usize) -> usize {
+        self.entries[entry].up.sent_bytes
     }
 
     pub fn run_for(&mut self, span: Duration) {
@@ -166,14 +165,14 @@
         }
     }
 
-    fn put_in_force(&mut self, entry: usize, document: ConfigDocument) {
-        let machine = &mut self.entries[entry];
-        if machine
+    fn apply_config(&mut self, entry: usize, document: ConfigDocument) {
+        let node = &mut self.entries[entry];
+        if node
             .config
             .is_none_or(|(version, _)| version < document.version)
         {
-            machine.config = Some((document.version, self.now.mono_us));
-            machine.dispatcher.apply_config(document);
+            node.config = Some((document.version, self.now.mono_us));
+            node.dispatcher.apply_config(document);
         }
     }
 
@@ -190,8 +189,8 @@
                     id,
                     entry,
                     gate,
-                    to_gate: Way::default(),
-                    to_entry: Way::default(),
+                    to_gate: Channel::default(),
+                    to_entry: Channel::default(),
                 });
                 let name: Arc<str> = format!("gate-{gate}").into();
                 self.entries[entry]
@@ -203,13 +202,13 @@
 
     fn deliver(&mut self) {
         let now = self.now;
-        let oldest_us = micros(self.limits.max_frame_age);
-        let mut late = Vec::new();
+        let max_age_us = micros(self.limits.max_frame_age);
+        let mut late_sessions = Vec::new();
         for session in &mut self.sessions {
             let gate = &mut self.gates[session.gate];
-            while let Some((age_us, messages)) = session.to_gate.arrived(now) {
-                if age_us > oldest_us {
-                    late.push(session.id);
+            while let Some((age_us, messages)) = session.to_gate.receive(now) {
+                if age_us > max_age_us {
+                    late_sessions.push(session.id);
                     break;
                 }
                 for message in messages {
@@ -218,9 +217,9 @@
                 gate.frame_received(now, session.id);
             }
             let dispatcher = &mut self.entries[session.entry].dispatcher;
-            while let Some((age_us, messages)) = session.to_entry.arrived(now) {
-                if age_us > oldest_us {
-                    late.push(session.id);
+            while let Some((age_us, messages)) = session.to_entry.receive(now) {
+                if age_us > max_age_us {
+                    late_sessions.push(session.id);
                     break;
                 }
                 dispatcher.frame_received(now, session.id);
@@ -229,36 +228,36 @@
                 }
             }
         }
-        for session in late {
-            self.end(session);
+        for session in late_sessions {
+            self.end_session(session);
         }
     }
 
-    fn end(&mut self, id: SessionId) {
+    fn end_session(&mut self, id: SessionId) {
         let Some(at) = self.sessions.iter().position(|one| one.id == id) else {
             return;
         };
         let session = self.sessions.remove(at);
-        self.ended += 1;
+        self.ended_sessions += 1;
         self.entries[session.entry].dispatcher.disconnected(id);
         self.gates[session.gate].session_closed(id);
     }
 
     fn entry_turn(&mut self, index: usize) {
         let now = self.now;
-        let machine = &mut self.entries[index];
-        machine.dispatcher.tick(now);
+        let node = &mut self.entries[index];
+        node.dispatcher.tick(now);
         let mut outbox: HashMap<SessionId, Vec<ToGate>> = HashMap::new();
-        for action in machine.dispatcher.take_actions(now) {
+        for action in node.dispatcher.take_actions(now) {
             match action {
                 DispatchAction::Send { session, message } => {
                     outbox.entry(session).or_default().push(message);
                 }
                 DispatchAction::Close(session) | DispatchAction::CloseSurplus(session) => {
-                    self.end(session)
+                    self.end_session(session)
                 }
-                DispatchAction::ConfigReceived(document) => self.put_in_force(index, document),
-                // The session that is doubted ends before long, or it is heard.
+                DispatchAction::ConfigReceived(document) => self.apply_config(index, document),
+                // A suspected session either ends soon or receives a frame.
                 DispatchAction::Redial(_) | DispatchAction::Reply { .. } => {}
             }
         }
@@ -266,7 +265,7 @@
         for session in &mut self.sessions {
             if let Some(messages) = outbox.remove(&session.id) {
                 let bytes = frame_bytes(now, &messages);
-                let at_us = up.carry(now.mono_us, bytes);
+                let at_us = up.transmit(now.mono_us, bytes);
                 session
                     .to_gate
                     .frames
@@ -285,7 +284,7 @@
                 GateAction::Send { session, message } => {
                     outbox.entry(session).or_default().push(message);
                 }
-                GateAction::Close(session) => self.end(session),
+                GateAction::Close(session) => self.end_session(session),
                 // There is no worker.
                 _ => {}
             }
@@ -294,7 +293,7 @@
             if let Some(messages) = outbox.remove(&session.id) {
                 let bytes = frame_bytes(now, &messages);
                 let down = &mut self.entries[session.entry].down;
-                let at_us = down.carry(now.mono_us, bytes);
+                let at_us = down.transmit(now.mono_us, bytes);
                 session
                     .to_entry
                     .frames
