--- a/tests/ephemeral_gate.rs
+++ b/tests/ephemeral_gate.rs
@@ -384,7 +384,7 @@
 }
 
 #[test]
-fn fenced_run_list_is_ignored() {
+fn fenced_run_list_is_ignored_and_the_fence_is_raised() {
     let mut bench = Bench::unlisted();
     bench.hello(Vec::new());
     bench.order(run(1), 100, 300);
--- a/tests/ephemeral_worker_life.rs
+++ b/tests/ephemeral_worker_life.rs
@@ -141,7 +141,7 @@
 }
 
 #[test]
-fn restored_incarnation_is_replaced_by_the_one_that_reports() {
+fn incarnation_without_a_run_list_is_replaced_by_the_one_that_reports() {
     let mut bench = Bench::unlisted();
     bench.gate.worker_report(bench.now, report("w2", false, 1));
     bench.another_life_answers();
