--- a/tests/ephemeral_deferral.rs
+++ b/tests/ephemeral_deferral.rs
@@ -192,7 +192,7 @@
 
 fn run_at_load(load: f64) -> Counts {
     let mut fleet = LargeFleet::new(12, 70);
-    fleet.schedule(SCHEDULING);
+    fleet.set_scheduling(SCHEDULING);
     fleet.run(2_000 * MS, 0.0);
     fleet.run(2_000 * MS, FULL_LOAD * 0.8);
     let counts = fleet.run(MEASURED_US, FULL_LOAD * load);
