--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,8 +1,5 @@
-//! A small fake of a fleet: members and one entry in virtual time.
-//!
-//! Messages are late, doubled and lost by a seeded generator; a lost message
-//! stands for a broken link, after which the link comes up again. The store can
-//! be down and can lose answers; members can pause and die.
+//! Simulates a fleet of members and one entry in virtual time. A seeded generator delays,
+//! duplicates and loses messages; losing one breaks its link, which then reconnects.
 
 #![allow(dead_code)]
 
@@ -40,12 +37,12 @@
 policy: { inquiry_ms: 400 }
 ";
 
-/// How the network misbehaves, in percent.
+/// Faults of the simulated network.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Trouble {
-    pub lost: u32,
-    pub doubled: u32,
-    pub late_ms: u64,
+pub struct NetworkFaults {
+    pub lost_percent: u32,
+    pub duplicated_percent: u32,
+    pub max_delay_ms: u64,
 }
 
 #[derive(Default)]
@@ -67,11 +64,11 @@
             .map(|(id, _)| *id)
             .collect();
         for lease in ended {
-            self.end(lease);
+            self.end_lease(lease);
         }
     }
 
-    fn end(&mut self, lease: LeaseId) {
+    fn end_lease(&mut self, lease: LeaseId) {
         self.leases.remove(&lease);
         let before = self.keys.len();
         self.keys.retain(|_, (_, _, held)| *held != Some(lease));
@@ -79,15 +76,16 @@
     }
 
     fn entries(&self) -> Vec<StoreEntry> {
-        let entry = |(key, (value, revision, lease)): (&String, &(Bytes, u64, Option<LeaseId>))| {
-            StoreEntry {
-                key: key.clone(),
-                value: value.clone(),
-                revision: *revision,
-                lease: *lease,
-            }
-        };
-        self.keys.iter().map(entry).collect()
+        let to_entry =
+            |(key, (value, revision, lease)): (&String, &(Bytes, u64, Option<LeaseId>))| {
+                StoreEntry {
+                    key: key.clone(),
+                    value: value.clone(),
+                    revision: *revision,
+                    lease: *lease,
+                }
+            };
+        self.keys.iter().map(to_entry).collect()
     }
 
     fn call(&mut self, now_us: u64, req: StoreRequest) -> Result<StoreReply, StoreError> {
@@ -134,7 +132,7 @@
                 None => StoreReply::LeaseGone,
             },
             StoreRequest::Revoke { lease } => {
-                self.end(lease);
+                self.end_lease(lease);
                 StoreReply::Lease { lease }
             }
         }
@@ -148,11 +146,11 @@
         lease: Option<LeaseId>,
     ) -> StoreReply {
         let found = self.keys.get(&key).map(|(_, revision, _)| *revision);
-        let wanted = match expect {
+        let expected = match expect {
             Expect::Absent => None,
             Expect::Revision(revision) => Some(revision),
         };
-        if found != wanted {
+        if found != expected {
             let current = self.entries().into_iter().find(|entry| entry.key == key);
             return StoreReply::Conflict { current };
         }
@@ -171,7 +169,7 @@
     pub id: MemberId,
     pub member: Member,
     pub fleet: Fleet,
-    /// Difference of its wall clock, in milliseconds.
+    /// Offset of its wall clock.
     pub skew_ms: i64,
     pub paused_until_us: u64,
     pub alive: bool,
@@ -180,7 +178,7 @@
     left: bool,
 }
 
-struct Flight {
+struct PendingMessage {
     due_us: u64,
     from: MemberId,
     to: MemberId,
@@ -189,7 +187,7 @@
     wall_ms: u64,
 }
 
-/// A fleet in virtual time.
+/// A simulated fleet in virtual time.
 pub struct FakeFleet {
     pub now_us: u64,
     pub store: FakeStore,
@@ -197,19 +195,19 @@
     pub router: Router,
     pub entry_fleet: Fleet,
     pub entry: MemberId,
-    pub trouble: Trouble,
+    pub network_faults: NetworkFaults,
     pub starts: HashMap<TaskId, u32>,
     pub start_times: Vec<(u64, MemberId, TaskId)>,
     pub answers: HashMap<SubmissionId, Vec<(u64, Answer)>>,
-    entry_seen: u64,
-    flights: Vec<Flight>,
-    relink: Vec<(u64, MemberId, MemberId)>,
+    entry_seen_revision: u64,
+    pending_messages: Vec<PendingMessage>,
+    reconnects: Vec<(u64, MemberId, MemberId)>,
     rng: StdRng,
     run_ms: u64,
 }
 
 impl FakeFleet {
-    /// A fleet of `count` members that owns all ranges.
+    /// Starts `count` members and waits until they own all ranges.
     pub fn new(count: usize, seed: u64) -> FakeFleet {
         let mut fleet = FakeFleet {
             now_us: 1_000_000,
@@ -218,23 +216,23 @@
             router: Router::default(),
             entry_fleet: Fleet::new(Config::empty()),
             entry: MemberId::new("entry", 1),
-            trouble: Trouble::default(),
+            network_faults: NetworkFaults::default(),
             starts: HashMap::new(),
             start_times: Vec::new(),
             answers: HashMap::new(),
-            entry_seen: 0,
-            flights: Vec::new(),
-            relink: Vec::new(),
+            entry_seen_revision: 0,
+            pending_messages: Vec::new(),
+            reconnects: Vec::new(),
             rng: StdRng::seed_from_u64(seed),
             run_ms: 30,
         };
-        fleet.configure();
+        fleet.write_config();
         (0..count).for_each(|index| fleet.add_member(index, 1));
-        fleet.run(Duration::from_secs(5));
+        fleet.advance(Duration::from_secs(5));
         fleet
     }
 
-    fn configure(&mut self) {
+    fn write_config(&mut self) {
         let record = ConfigRecord {
             revision: 1,
             document: CONFIG.to_string(),
@@ -247,9 +245,9 @@
         self.store.put(key, value.into(), Expect::Absent, None);
     }
 
-    /// Adds a member, or a new run of one.
-    pub fn add_member(&mut self, index: usize, run: u64) {
-        let id = MemberId::new(&format!("m{index}"), run);
+    /// Adds a member, or a new incarnation of one.
+    pub fn add_member(&mut self, index: usize, incarnation: u64) {
+        let id = MemberId::new(&format!("m{index}"), incarnation);
         let record = MemberRecord {
             id: id.clone(),
             session: 1,
@@ -274,7 +272,7 @@
             runs: Vec::new(),
             left: false,
         });
-        self.relink.push((self.now_us, self.entry.clone(), id));
+        self.reconnects.push((self.now_us, self.entry.clone(), id));
     }
 
     fn moment(&self, skew_ms: i64) -> Moment {
@@ -289,13 +287,13 @@
         self.moment(0)
     }
 
-    /// Mints an id of the present time.
-    pub fn id(&mut self) -> SubmissionId {
+    /// Creates an id with the present time.
+    pub fn new_id(&mut self) -> SubmissionId {
         let random: u128 = self.rng.random();
         SubmissionId::mint(self.now().wall_ms, random)
     }
 
-    /// Submits through the entry.
+    /// Sends a submission through the entry.
     pub fn submit(&mut self, id: SubmissionId, kind: &str, tasks: usize, budget_ms: u64) {
         let mut submission = Submission::id_only(id, budget_ms);
         submission.call = self.rng.random();
@@ -305,7 +303,7 @@
         submission.tasks = (0..tasks)
             .map(|index| Bytes::from(format!("{id}/{index}")))
             .collect();
-        let fresh = !self.answers.contains_key(&id);
+        let is_new = !self.answers.contains_key(&id);
         let now = self.now();
         let actions = self.router.ask(
             now,
@@ -313,12 +311,12 @@
             Operation::Submit,
             Some(1),
             submission,
-            fresh,
+            is_new,
         );
         self.apply_router(actions);
     }
 
-    /// Cancels through the entry.
+    /// Cancels a submission through the entry.
     pub fn cancel(&mut self, id: SubmissionId) {
         let question = Submission::id_only(id, 2_000);
         let now = self.now();
@@ -333,8 +331,8 @@
         self.apply_router(actions);
     }
 
-    /// Lets virtual time pass.
-    pub fn run(&mut self, span: Duration) {
+    /// Advances virtual time.
+    pub fn advance(&mut self, span: Duration) {
         let until_us = self.now_us + span.as_micros() as u64;
         while self.now_us < until_us {
             self.now_us += STEP.as_micros() as u64;
@@ -344,20 +342,20 @@
 
     fn step(&mut self) {
         self.store.expire(self.now_us);
-        self.relink();
-        self.deliver();
-        self.watch_entry();
+        self.reconnect_due_links();
+        self.deliver_due_messages();
+        self.sync_entry();
         let now = self.now();
         let actions = self.router.tick(now, &self.entry_fleet);
         self.apply_router(actions);
         for index in 0..self.members.len() {
-            if self.awake(index) {
+            if self.is_running(index) {
                 self.step_member(index);
             }
         }
     }
 
-    fn awake(&self, index: usize) -> bool {
+    fn is_running(&self, index: usize) -> bool {
         let member = &self.members[index];
         member.alive && !member.left && member.paused_until_us <= self.now_us
     }
@@ -366,27 +364,27 @@
         let now = self.moment(self.members[index].skew_ms);
         let (down, revision) = (self.store.down, self.store.revision);
         let entries = self.store.entries();
-        let one = &mut self.members[index];
+        let fake = &mut self.members[index];
         if down {
-            one.member.ownership.on_store_failure(now);
-        } else if one.seen_revision < revision {
-            one.seen_revision = revision;
-            one.member.ownership.on_store_synced(now);
-            let news = take_entries(&mut one.fleet, revision, &entries);
-            one.member.on_news(now, &one.fleet, news);
+            fake.member.ownership.on_store_failure(now);
+        } else if fake.seen_revision < revision {
+            fake.seen_revision = revision;
+            fake.member.ownership.on_store_synced(now);
+            let changes = apply_entries(&mut fake.fleet, revision, &entries);
+            fake.member.on_news(now, &fake.fleet, changes);
         }
-        let (due, waiting) = one
+        let (due, waiting) = fake
             .runs
             .drain(..)
             .partition(|(at, _, _)| *at <= now.mono_us);
-        one.runs = waiting;
+        fake.runs = waiting;
         let due: Vec<(u64, TaskId, Bytes)> = due;
         for (_, task, payload) in due {
-            one.member
+            fake.member
                 .run_ended(now, task, RunResult::Ended(TaskOutcome::Done(payload)));
         }
-        one.member.sample_own_load(now);
-        one.member.tick(now, &one.fleet);
+        fake.member.sample_own_load(now);
+        fake.member.tick(now, &fake.fleet);
         self.apply_member(index, now);
     }
 
@@ -406,8 +404,8 @@
         let me = self.members[index].id.clone();
         match action {
             MemberAction::Send { to, message } if to == me => {
-                let one = &mut self.members[index];
-                one.member.on_message(now, &one.fleet, &me, message);
+                let fake = &mut self.members[index];
+                fake.member.on_message(now, &fake.fleet, &me, message);
             }
             MemberAction::Send { to, message } => self.send(me, to, message),
             MemberAction::Run { task, payload, .. } => {
@@ -417,19 +415,19 @@
                 self.members[index].runs.push((at_us, task, payload));
             }
             MemberAction::StopRun { task } => {
-                let one = &mut self.members[index];
-                one.runs.retain(|(_, running, _)| *running != task);
-                one.member
+                let fake = &mut self.members[index];
+                fake.runs.retain(|(_, running, _)| *running != task);
+                fake.member
                     .run_ended(now, task, RunResult::Ended(TaskOutcome::Stopped));
             }
             MemberAction::Store { op, request } => self.call_store(index, now, op, request),
             MemberAction::Table(table) => {
-                let one = &mut self.members[index];
-                let news = FleetChanges {
-                    table: one.fleet.apply_table(table),
+                let fake = &mut self.members[index];
+                let changes = FleetChanges {
+                    table: fake.fleet.apply_table(table),
                     ..FleetChanges::default()
                 };
-                one.member.on_news(now, &one.fleet, news);
+                fake.member.on_news(now, &fake.fleet, changes);
             }
             MemberAction::Range { .. } => {}
             MemberAction::Left { .. } => self.members[index].left = true,
@@ -438,18 +436,18 @@
 
     fn call_store(&mut self, index: usize, now: Moment, op: StoreOp, request: StoreRequest) {
         let reply = self.store.call(self.now_us, request);
-        let one = &mut self.members[index];
-        one.member.on_store(now, &one.fleet, op, reply);
+        let fake = &mut self.members[index];
+        fake.member.on_store(now, &fake.fleet, op, reply);
     }
 
-    fn watch_entry(&mut self) {
+    fn sync_entry(&mut self) {
         self.router.set_store_down(self.store.down);
-        if self.store.down || self.entry_seen >= self.store.revision {
+        if self.store.down || self.entry_seen_revision >= self.store.revision {
             return;
         }
-        self.entry_seen = self.store.revision;
+        self.entry_seen_revision = self.store.revision;
         let entries = self.store.entries();
-        take_entries(&mut self.entry_fleet, self.store.revision, &entries);
+        apply_entries(&mut self.entry_fleet, self.store.revision, &entries);
         let now = self.now();
         let actions = self.router.table_changed(now, &self.entry_fleet);
         self.apply_router(actions);
@@ -469,15 +467,15 @@
         }
     }
 
-    fn percent(&mut self, percent: u32) -> bool {
+    fn draw(&mut self, percent: u32) -> bool {
         self.rng.random_range(0..100) < percent
     }
 
     fn send(&mut self, from: MemberId, to: MemberId, message: Message) {
-        if self.percent(self.trouble.lost) {
-            let broken = |(_, a, b): &(u64, MemberId, MemberId)| *a == from && *b == to;
-            if !self.relink.iter().any(broken) {
-                self.relink.push((self.now_us + 50_000, from, to));
+        if self.draw(self.network_faults.lost_percent) {
+            let is_same_link = |(_, a, b): &(u64, MemberId, MemberId)| *a == from && *b == to;
+            if !self.reconnects.iter().any(is_same_link) {
+                self.reconnects.push((self.now_us + 50_000, from, to));
             }
             return;
         }
@@ -486,14 +484,14 @@
             .index(&from)
             .map_or(0, |index| self.members[index].skew_ms);
         let wall_ms = self.moment(skew_ms).wall_ms;
-        // A stream doubles nothing by itself; whoever sends a submission again
-        // counts it.
-        let doubled = self.percent(self.trouble.doubled);
-        let copies = 1 + u32::from(doubled && !matches!(message, Message::Submit(_)));
+        // Connections don't duplicate messages; only the router sends a submission again,
+        // and it counts each attempt.
+        let is_duplicated = self.draw(self.network_faults.duplicated_percent);
+        let copies = 1 + u32::from(is_duplicated && !matches!(message, Message::Submit(_)));
         for _ in 0..copies {
-            let late_ms = self.rng.random_range(0..=self.trouble.late_ms);
-            let due_us = self.now_us + 500 + late_ms * 1_000;
-            let flight = Flight {
+            let delay_ms = self.rng.random_range(0..=self.network_faults.max_delay_ms);
+            let due_us = self.now_us + 500 + delay_ms * 1_000;
+            let pending = PendingMessage {
                 due_us,
                 from: from.clone(),
                 to: to.clone(),
@@ -501,22 +499,24 @@
                 loads: loads.clone(),
                 wall_ms,
             };
-            self.flights.push(flight);
+            self.pending_messages.push(pending);
         }
     }
 
-    fn relink(&mut self) {
+    fn reconnect_due_links(&mut self) {
         let now_us = self.now_us;
-        let (due, later): (Vec<_>, Vec<_>) =
-            self.relink.drain(..).partition(|(at, _, _)| *at <= now_us);
-        self.relink = later;
+        let (due, later): (Vec<_>, Vec<_>) = self
+            .reconnects
+            .drain(..)
+            .partition(|(at, _, _)| *at <= now_us);
+        self.reconnects = later;
         for (_, a, b) in due {
-            self.link_again(&a, &b);
-            self.link_again(&b, &a);
+            self.reconnect(&a, &b);
+            self.reconnect(&b, &a);
         }
     }
 
-    fn link_again(&mut self, at: &MemberId, peer: &MemberId) {
+    fn reconnect(&mut self, at: &MemberId, peer: &MemberId) {
         let now = self.now();
         if *at == self.entry {
             self.router.link_down(peer);
@@ -531,41 +531,43 @@
 
     fn index(&self, id: &MemberId) -> Option<usize> {
         let index = self.members.iter().position(|member| member.id == *id)?;
-        let one = &self.members[index];
-        (one.alive && !one.left).then_some(index)
+        let fake = &self.members[index];
+        (fake.alive && !fake.left).then_some(index)
     }
 
-    fn deliver(&mut self) {
+    fn deliver_due_messages(&mut self) {
         let now_us = self.now_us;
-        let flights = std::mem::take(&mut self.flights);
-        let (due, later): (Vec<Flight>, Vec<Flight>) = flights
+        let pending_messages = std::mem::take(&mut self.pending_messages);
+        let (due, later): (Vec<PendingMessage>, Vec<PendingMessage>) = pending_messages
             .into_iter()
-            .partition(|flight| flight.due_us <= now_us);
-        self.flights.extend(later);
-        for flight in due {
-            self.land(flight);
+            .partition(|pending| pending.due_us <= now_us);
+        self.pending_messages.extend(later);
+        for pending in due {
+            self.deliver_message(pending);
         }
     }
 
-    fn land(&mut self, flight: Flight) {
-        if flight.to == self.entry {
-            return self.land_at_entry(&flight.from, flight.message);
+    fn deliver_message(&mut self, pending: PendingMessage) {
+        if pending.to == self.entry {
+            return self.deliver_to_entry(&pending.from, pending.message);
         }
-        let Some(index) = self.index(&flight.to) else {
+        let Some(index) = self.index(&pending.to) else {
             return;
         };
-        if !self.awake(index) {
+        if !self.is_running(index) {
             let due_us = self.members[index].paused_until_us.max(self.now_us) + 1_000;
-            self.flights.push(Flight { due_us, ..flight });
+            self.pending_messages
+                .push(PendingMessage { due_us, ..pending });
             return;
         }
         let now = self.moment(self.members[index].skew_ms);
-        let one = &mut self.members[index];
-        one.member
-            .observe_clock(now, &one.fleet, &flight.from, flight.wall_ms);
-        one.member.on_load_samples(now, &one.fleet, &flight.loads);
-        one.member
-            .on_message(now, &one.fleet, &flight.from, flight.message);
+        let fake = &mut self.members[index];
+        fake.member
+            .observe_clock(now, &fake.fleet, &pending.from, pending.wall_ms);
+        fake.member
+            .on_load_samples(now, &fake.fleet, &pending.loads);
+        fake.member
+            .on_message(now, &fake.fleet, &pending.from, pending.message);
         self.apply_member(index, now);
     }
 
@@ -576,7 +578,7 @@
         }
     }
 
-    fn land_at_entry(&mut self, from: &MemberId, message: Message) {
+    fn deliver_to_entry(&mut self, from: &MemberId, message: Message) {
         let now = self.now();
         match message {
             Message::Answer { id, about, answer } => {
@@ -590,36 +592,36 @@
         }
     }
 
-    /// Kills a member; its peers learn that its process has ended.
+    /// Kills a member and notifies its peers that its process has ended.
     pub fn kill(&mut self, index: usize) {
         self.members[index].alive = false;
         let gone = self.members[index].id.clone();
         self.router.link_down(&gone);
         for other in 0..self.members.len() {
-            if self.awake(other) {
+            if self.is_running(other) {
                 let now = self.moment(self.members[other].skew_ms);
-                let one = &mut self.members[other];
-                one.member.member_ended(now, &one.fleet, &gone);
+                let fake = &mut self.members[other];
+                fake.member.member_ended(now, &fake.fleet, &gone);
                 self.apply_member(other, now);
             }
         }
     }
 
-    /// Tells a member to stop.
+    /// Starts a planned stop of a member.
     pub fn stop(&mut self, index: usize) {
         let now = self.moment(self.members[index].skew_ms);
-        let one = &mut self.members[index];
-        one.member
-            .begin_stop(now, &one.fleet, Duration::from_secs(30));
+        let fake = &mut self.members[index];
+        fake.member
+            .begin_stop(now, &fake.fleet, Duration::from_secs(30));
         self.apply_member(index, now);
     }
 
-    /// Whether a member has left in order.
+    /// Whether a member has completed its planned stop.
     pub fn has_left(&self, index: usize) -> bool {
         self.members[index].left
     }
 
-    /// The member that owns the range of `id`.
+    /// Index of the member that owns the range of `id`.
     pub fn owner_of(&self, id: SubmissionId) -> usize {
         let range = id.range(8);
         let owner = &self
@@ -628,11 +630,11 @@
             .row(range)
             .expect("ranges have rows")
             .owner;
-        let index = self.members.iter().position(|one| one.id == owner.member);
+        let index = self.members.iter().position(|fake| fake.id == owner.member);
         index.expect("the owner is a member")
     }
 
-    /// The latest answer to `id`.
+    /// Latest answer to `id`.
     pub fn answer(&self, id: SubmissionId) -> Option<&Answer> {
         self.answers
             .get(&id)
@@ -640,15 +642,15 @@
             .map(|(_, answer)| answer)
     }
 
-    /// Starts of all tasks of `id`.
+    /// Number of starts of all tasks of `id`.
     pub fn starts_of(&self, id: SubmissionId) -> u32 {
         let tasks = self.starts.iter().filter(|(task, _)| task.submission == id);
         tasks.map(|(_, starts)| starts).sum()
     }
 
-    /// Asserts the promises that need no context.
-    pub fn check(&self, once: &[SubmissionId]) {
-        for id in once {
+    /// Asserts that no task of `ids` started twice and that each answer holds its own results.
+    pub fn check(&self, ids: &[SubmissionId]) {
+        for id in ids {
             for (task, starts) in self
                 .starts
                 .iter()
@@ -664,11 +666,15 @@
 
     fn check_answer(&self, id: SubmissionId, answer: &Answer) {
         for (index, result) in answer.results.iter().enumerate() {
-            assert_eq!(*result, format!("{id}/{index}"), "a crossed answer");
+            assert_eq!(
+                *result,
+                format!("{id}/{index}"),
+                "result of another task in the answer to {id}"
+            );
         }
     }
 
-    /// Asserts that an id whose last answer says "not run" never started.
+    /// Asserts that no task of `id` started if its last answer is "not run".
     pub fn check_not_run(&self, id: SubmissionId) {
         if self
             .answer(id)
@@ -681,27 +687,28 @@
                 .collect();
             assert!(
                 starts.is_empty(),
-                "{id}: {:?} but {starts:?}",
+                "{id}: answers {:?}, but starts {starts:?}",
                 self.answers.get(&id)
             );
         }
     }
 }
 
-fn take_entries(fleet: &mut Fleet, revision: u64, entries: &[StoreEntry]) -> FleetChanges {
-    let mut news = FleetChanges::default();
+fn apply_entries(fleet: &mut Fleet, revision: u64, entries: &[StoreEntry]) -> FleetChanges {
+    let mut changes = FleetChanges::default();
     let mut members = Vec::new();
     for entry in entries {
         if entry.key.starts_with(MEMBER_PREFIX) {
             members.extend(serde_json::from_slice::<MemberRecord>(&entry.value).ok());
         } else if entry.key == CONFIG_KEY {
-            let record = serde_json::from_slice(&entry.value).expect("a record");
-            news.config = fleet.apply_config(record);
+            let record =
+                serde_json::from_slice(&entry.value).expect("a valid configuration record");
+            changes.config = fleet.apply_config(record);
         } else if entry.key == TABLE_KEY {
-            let table = parse_table(entry).expect("a table");
-            news.table = fleet.apply_table(table);
+            let table = parse_table(entry).expect("a valid table");
+            changes.table = fleet.apply_table(table);
         }
     }
-    news.members = fleet.apply_members(revision, members);
-    news
+    changes.members = fleet.apply_members(revision, members);
+    changes
 }
--- a/tests/interleavings.rs
+++ b/tests/interleavings.rs
@@ -1,4 +1,4 @@
-//! Arbitrary failures, one after the other and together, against the promises.
+//! Checks that no random sequence of failures starts a task twice or makes a "not run" answer false.
 
 mod common;
 
@@ -6,16 +6,16 @@
 
 use bolero::TypeGenerator;
 use bolero::generator::bolero_generator::driver::{ByteSliceDriver, Options};
-use common::{FakeFleet, Trouble};
+use common::{FakeFleet, NetworkFaults};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use winghold::id::SubmissionId;
 
 const MEMBERS: usize = 4;
 
-/// One thing that happens.
+/// One event of a case.
 #[derive(Clone, Copy, Debug, TypeGenerator)]
-enum Happening {
+enum Event {
     Submit,
     SubmitJob,
     Resubmit(u8),
@@ -27,73 +27,73 @@
     StoreDown,
     StoreLosesAnswers,
     StoreUp,
-    Calm,
-    Storm,
+    NetworkUp,
+    NetworkFaulty,
     Wait(u8),
 }
 
-struct Run {
+struct Scenario {
     fleet: FakeFleet,
-    once: Vec<SubmissionId>,
-    runs: u64,
+    ids: Vec<SubmissionId>,
+    last_incarnation: u64,
 }
 
-impl Run {
-    fn apply(&mut self, happening: Happening) {
-        match happening {
-            Happening::Submit => self.submit(1),
-            Happening::SubmitJob => self.submit(5),
-            Happening::Resubmit(which) => self.resubmit(which),
-            Happening::Cancel(which) => self.cancel(which),
-            Happening::Kill(which) => self.kill(which),
-            Happening::Restart(which) => self.restart(which),
-            Happening::Pause(which) => {
-                let index = which as usize % self.fleet.members.len();
-                let pause_us = 100_000 * u64::from(which);
+impl Scenario {
+    fn apply(&mut self, event: Event) {
+        match event {
+            Event::Submit => self.submit(1),
+            Event::SubmitJob => self.submit(5),
+            Event::Resubmit(choice) => self.resubmit(choice),
+            Event::Cancel(choice) => self.cancel(choice),
+            Event::Kill(choice) => self.kill(choice),
+            Event::Restart(choice) => self.restart(choice),
+            Event::Pause(choice) => {
+                let index = choice as usize % self.fleet.members.len();
+                let pause_us = 100_000 * u64::from(choice);
                 self.fleet.members[index].paused_until_us = self.fleet.now_us + pause_us;
             }
-            Happening::Stop(which) => {
-                let index = which as usize % self.fleet.members.len();
+            Event::Stop(choice) => {
+                let index = choice as usize % self.fleet.members.len();
                 if self.fleet.members[index].alive {
                     self.fleet.stop(index);
                 }
             }
-            Happening::StoreDown => self.fleet.store.down = true,
-            Happening::StoreLosesAnswers => self.fleet.store.loses_answers = true,
-            Happening::StoreUp => {
+            Event::StoreDown => self.fleet.store.down = true,
+            Event::StoreLosesAnswers => self.fleet.store.loses_answers = true,
+            Event::StoreUp => {
                 self.fleet.store.down = false;
                 self.fleet.store.loses_answers = false;
             }
-            Happening::Calm => self.fleet.trouble = Trouble::default(),
-            Happening::Storm => {
-                self.fleet.trouble = Trouble {
-                    lost: 15,
-                    doubled: 25,
-                    late_ms: 120,
+            Event::NetworkUp => self.fleet.network_faults = NetworkFaults::default(),
+            Event::NetworkFaulty => {
+                self.fleet.network_faults = NetworkFaults {
+                    lost_percent: 15,
+                    duplicated_percent: 25,
+                    max_delay_ms: 120,
                 };
             }
-            Happening::Wait(tenths) => {
+            Event::Wait(units) => {
                 self.fleet
-                    .run(Duration::from_millis(20 * u64::from(tenths)));
+                    .advance(Duration::from_millis(20 * u64::from(units)));
             }
         }
-        self.fleet.run(Duration::from_millis(30));
+        self.fleet.advance(Duration::from_millis(30));
     }
 
     fn submit(&mut self, tasks: usize) {
-        let id = self.fleet.id();
-        self.once.push(id);
+        let id = self.fleet.new_id();
+        self.ids.push(id);
         self.fleet.submit(id, "once", tasks, 4_000);
     }
 
-    fn chosen(&self, which: u8) -> Option<SubmissionId> {
-        let count = self.once.len();
-        (count > 0).then(|| self.once[which as usize % count])
+    fn pick_id(&self, choice: u8) -> Option<SubmissionId> {
+        let count = self.ids.len();
+        (count > 0).then(|| self.ids[choice as usize % count])
     }
 
-    /// A caller sends again what it sent before, with as many tasks.
-    fn resubmit(&mut self, which: u8) {
-        let Some(id) = self.chosen(which) else {
+    /// Resubmits an id with as many tasks as have started, at least one.
+    fn resubmit(&mut self, choice: u8) {
+        let Some(id) = self.pick_id(choice) else {
             return;
         };
         let tasks = self
@@ -105,56 +105,59 @@
         self.fleet.submit(id, "once", tasks.clamp(1, 5), 4_000);
     }
 
-    fn cancel(&mut self, which: u8) {
-        if let Some(id) = self.chosen(which) {
+    fn cancel(&mut self, choice: u8) {
+        if let Some(id) = self.pick_id(choice) {
             self.fleet.cancel(id);
         }
     }
 
-    fn kill(&mut self, which: u8) {
-        let index = which as usize % self.fleet.members.len();
+    fn kill(&mut self, choice: u8) {
+        let index = choice as usize % self.fleet.members.len();
         if self.fleet.members[index].alive {
             self.fleet.kill(index);
         }
     }
 
-    fn restart(&mut self, which: u8) {
-        self.runs += 1;
-        self.fleet.add_member(which as usize % MEMBERS, self.runs);
+    fn restart(&mut self, choice: u8) {
+        self.last_incarnation += 1;
+        self.fleet
+            .add_member(choice as usize % MEMBERS, self.last_incarnation);
     }
 }
 
-/// Cases that CI runs; each draws everything from its own number.
+/// Number of cases; each is seeded with its index.
 const CASES: u64 = 400;
-/// Happenings of one case.
-const LENGTH: usize = 30;
+const EVENTS_PER_CASE: usize = 30;
 
-fn happenings(case: u64) -> Vec<Happening> {
-    let mut bytes = [0; 8 * LENGTH];
+fn events(case: u64) -> Vec<Event> {
+    let mut bytes = [0; 8 * EVENTS_PER_CASE];
     StdRng::seed_from_u64(case).fill(&mut bytes[..]);
     let mut driver = ByteSliceDriver::new(&bytes, &Options::default());
-    let drawn = std::iter::repeat_with(|| Happening::generate(&mut driver));
-    drawn.take(LENGTH).flatten().collect()
+    let events = std::iter::repeat_with(|| Event::generate(&mut driver));
+    events.take(EVENTS_PER_CASE).flatten().collect()
 }
 
 fn run_case(case: u64) {
-    let mut run = Run {
+    let mut scenario = Scenario {
         fleet: FakeFleet::new(MEMBERS, case),
-        once: Vec::new(),
-        runs: 1,
+        ids: Vec::new(),
+        last_incarnation: 1,
     };
-    for happening in happenings(case) {
-        run.apply(happening);
+    for event in events(case) {
+        scenario.apply(event);
     }
-    run.fleet.run(Duration::from_secs(6));
-    run.fleet.check(&run.once);
-    run.once.iter().for_each(|id| run.fleet.check_not_run(*id));
+    scenario.fleet.advance(Duration::from_secs(6));
+    scenario.fleet.check(&scenario.ids);
+    scenario
+        .ids
+        .iter()
+        .for_each(|id| scenario.fleet.check_not_run(*id));
 }
 
 #[test]
-fn no_interleaving_starts_a_task_twice_or_makes_not_run_a_lie() {
+fn no_event_sequence_starts_a_task_twice_or_runs_a_task_answered_as_not_run() {
     for case in 0..CASES {
         let outcome = std::panic::catch_unwind(|| run_case(case));
-        assert!(outcome.is_ok(), "case {case}: {:?}", happenings(case));
+        assert!(outcome.is_ok(), "case {case}: {:?}", events(case));
     }
 }
