--- a/tests/checker.rs
+++ b/tests/checker.rs
@@ -1,4 +1,4 @@
-//! The checker against histories that are broken on purpose, one a promise.
+//! The history checker reports each violated promise, and none for a sound history.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -54,127 +54,139 @@
     }
 }
 
-fn broken(history: &History, starts: &[StartRecord]) -> Vec<Promise> {
+fn violations(history: &History, starts: &[StartRecord]) -> Vec<Promise> {
     let config = Config::from_yaml(CONFIG).expect("the example is valid");
     check(history, starts, &config)
         .iter()
-        .map(|one| one.promise)
+        .map(|violation| violation.promise)
         .collect()
 }
 
-fn one(record: SubmissionRecord) -> History {
+fn history_of(record: SubmissionRecord) -> History {
     let history = History::default();
     history.done(record);
     history
 }
 
 #[test]
-fn a_sound_history_breaks_nothing() {
-    let history = one(record("a", 2));
+fn a_sound_history_has_no_violations() {
+    let history = history_of(record("a", 2));
     history.set_only_planned(true);
     let starts = [start("a/0", 2_000), start("a/1", 2_000)];
-    assert_eq!(broken(&history, &starts), []);
+    assert_eq!(violations(&history, &starts), []);
 }
 
 #[test]
-fn a_task_of_a_job_that_starts_twice() {
+fn a_second_start_of_a_job_task_is_reported() {
     let starts = [
         start("a/0", 2_000),
         start("a/1", 2_000),
         start("a/1", 9_000),
     ];
     assert_eq!(
-        broken(&one(record("a", 2)), &starts),
+        violations(&history_of(record("a", 2)), &starts),
         [Promise::NoDoubleStart]
     );
 }
 
 #[test]
-fn a_request_that_may_not_be_repeated_and_starts_twice() {
+fn a_second_start_of_a_non_repeatable_request_is_reported() {
     let starts = [start("a/0", 2_000), start("a/0", 9_000)];
-    assert_eq!(broken(&one(record("a", 1)), &starts), [Promise::AtMostOnce]);
+    assert_eq!(
+        violations(&history_of(record("a", 1)), &starts),
+        [Promise::AtMostOnce]
+    );
 }
 
 #[test]
-fn a_complete_answer_that_lacks_a_result() {
-    let mut short = record("a", 2);
-    short.results = 1;
+fn a_complete_answer_without_all_results_is_reported() {
+    let mut incomplete = record("a", 2);
+    incomplete.results = 1;
     let starts = [start("a/0", 2_000), start("a/1", 2_000)];
-    assert_eq!(broken(&one(short), &starts), [Promise::WholeAnswer]);
+    assert_eq!(
+        violations(&history_of(incomplete), &starts),
+        [Promise::WholeAnswer]
+    );
 }
 
 #[test]
-fn a_complete_answer_to_a_task_that_never_ran() {
+fn a_complete_answer_for_a_task_that_never_ran_is_reported() {
     assert_eq!(
-        broken(&one(record("a", 2)), &[start("a/0", 2_000)]),
+        violations(&history_of(record("a", 2)), &[start("a/0", 2_000)]),
         [Promise::WholeAnswer]
     );
 }
 
 #[test]
-fn an_answer_that_belongs_to_another() {
-    let mut crossed = record("a", 1);
-    crossed.own_results = false;
+fn an_answer_with_the_results_of_another_submission_is_reported() {
+    let mut foreign = record("a", 1);
+    foreign.own_results = false;
     assert_eq!(
-        broken(&one(crossed), &[start("a/0", 2_000)]),
+        violations(&history_of(foreign), &[start("a/0", 2_000)]),
         [Promise::OwnAnswer]
     );
 }
 
 #[test]
-fn a_not_run_that_ran() {
+fn a_not_run_answer_for_a_task_that_ran_is_reported() {
     let mut refused = record("a", 1);
     refused.attempts = vec![attempt("NO_OWNER", Effect::NotRun)];
     assert_eq!(
-        broken(&one(refused), &[start("a/0", 2_000)]),
+        violations(&history_of(refused), &[start("a/0", 2_000)]),
         [Promise::TrueNotRun]
     );
 }
 
 #[test]
-fn a_not_run_that_ran_only_after_its_caller_came_back() {
+fn a_start_after_a_resend_does_not_contradict_an_earlier_not_run_answer() {
     let mut refused = record("a", 1);
     let mut again = attempt("COMPLETE", Effect::Ran);
     again.sent_us = 300_000;
     refused.attempts = vec![attempt("NO_OWNER", Effect::NotRun), again];
-    assert_eq!(broken(&one(refused), &[start("a/0", 301_000)]), []);
+    assert_eq!(
+        violations(&history_of(refused), &[start("a/0", 301_000)]),
+        []
+    );
 }
 
 #[test]
-fn a_leaving_target_that_starts_something() {
-    let history = one(record("a", 1));
+fn a_start_on_a_leaving_target_is_reported() {
+    let history = history_of(record("a", 1));
     history.left(Leave {
         target: "t".to_string(),
         at_us: 0,
         until_us: u64::MAX,
     });
     assert_eq!(
-        broken(&history, &[start("a/0", 3_500_000)]),
+        violations(&history, &[start("a/0", 3_500_000)]),
         [Promise::LeavingGetsNothing]
     );
 }
 
 #[test]
-fn a_planned_stop_that_cuts_a_request() {
+fn a_request_interrupted_by_a_planned_stop_is_reported() {
     let mut cut = record("a", 1);
     cut.attempts = vec![attempt("OUTCOME_UNKNOWN", Effect::Unknown)];
-    let history = one(cut);
+    let history = history_of(cut);
     history.set_only_planned(true);
     let starts = [start("a/0", 2_000)];
-    assert_eq!(broken(&history, &starts), [Promise::PlannedStopCutsNothing]);
+    assert_eq!(
+        violations(&history, &starts),
+        [Promise::PlannedStopCutsNothing]
+    );
 }
 
 #[test]
-fn an_answer_long_after_the_deadline() {
+fn an_answer_long_after_the_deadline_is_reported() {
     let mut late = record("a", 1);
     late.done_us = 6_500_000;
     assert_eq!(
-        broken(&one(late), &[start("a/0", 2_000)]),
+        violations(&history_of(late), &[start("a/0", 2_000)]),
         [Promise::AnsweredInTime]
     );
 }
 
-fn seen(revision: u64, at_us: u64) -> ConfigSeen {
+fn config_seen(revision: u64, at_us: u64) -> ConfigSeen {
     ConfigSeen {
         process: "p".to_string(),
         revision,
@@ -183,20 +195,20 @@
 }
 
 #[test]
-fn a_configuration_that_reverts() {
+fn a_configuration_that_reverts_is_reported() {
     let history = History::default();
-    history.saw(seen(3, 1_000));
-    history.saw(seen(2, 2_000));
-    assert_eq!(broken(&history, &[]), [Promise::ConfigNeverReverts]);
+    history.saw(config_seen(3, 1_000));
+    history.saw(config_seen(2, 2_000));
+    assert_eq!(violations(&history, &[]), [Promise::ConfigNeverReverts]);
 }
 
 #[test]
-fn a_configuration_that_is_not_in_force_in_time() {
+fn a_configuration_applied_too_late_is_reported() {
     let history = History::default();
     history.accepted(ConfigAccepted {
         revision: 4,
         at_us: 0,
     });
-    history.saw(seen(3, 5_500_000));
-    assert_eq!(broken(&history, &[]), [Promise::ConfigInForce]);
+    history.saw(config_seen(3, 5_500_000));
+    assert_eq!(violations(&history, &[]), [Promise::ConfigInForce]);
 }
--- a/tests/commands.rs
+++ b/tests/commands.rs
@@ -1,4 +1,5 @@
-//! The real programs as plain processes: two entries, three agents, stand-ins.
+//! Tests the built programs as separate processes: two entries, three agents, and stand-ins
+//! for the store and the targets.
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -14,7 +15,7 @@
 const AGENT: &str = env!("CARGO_BIN_EXE_winghold-agent");
 const REQUESTS: &str = "/v1/services/s/requests";
 const JOBS: &str = "/v1/services/s/jobs";
-const LIMIT: Duration = Duration::from_secs(30);
+const TIMEOUT: Duration = Duration::from_secs(30);
 const CONFIG: &str = "
 regions: [{ name: r, failure_domains: [a, b] }]
 services:
@@ -26,7 +27,7 @@
 ownership: { ranges: 8, lease_ms: 1500, skew_ms: 100 }
 ";
 
-/// A program that is killed when the test ends.
+/// A child process that is killed on drop.
 struct Process {
     child: Child,
     ready: String,
@@ -44,19 +45,19 @@
         let stdout = child.stdout.take().expect("stdout is piped");
         BufReader::new(stdout)
             .read_line(&mut ready)
-            .expect("it prints a line");
+            .expect("the program prints a line");
         assert!(ready.starts_with("ready "), "{program} {args:?}: {ready}");
         Process { child, ready }
     }
 
-    /// The address after `key=` in its ready line.
+    /// Address after `key=` in the ready line.
     fn addr(&self, key: &str) -> String {
         let words = self.ready.split_whitespace();
         let value = words
             .filter_map(|word| word.strip_prefix(&format!("{key}=")))
             .next();
         value
-            .expect("the key is there")
+            .expect("the ready line has the key")
             .trim_start_matches("http://")
             .to_string()
     }
@@ -69,11 +70,15 @@
             .expect("kill runs");
     }
 
-    /// Waits for its end; gives whether it ended well.
-    fn ended_well(&mut self) -> bool {
-        let until = Instant::now() + LIMIT;
+    /// Waits for the process to exit; whether it exited successfully within `TIMEOUT`.
+    fn exits_successfully(&mut self) -> bool {
+        let until = Instant::now() + TIMEOUT;
         while Instant::now() < until {
-            if let Some(status) = self.child.try_wait().expect("it can be waited for") {
+            if let Some(status) = self
+                .child
+                .try_wait()
+                .expect("the process can be waited for")
+            {
                 return status.success();
             }
             std::thread::sleep(Duration::from_millis(20));
@@ -98,7 +103,7 @@
 
 impl Fleet {
     fn start() -> Fleet {
-        let dir = TempDir::new().expect("a directory");
+        let dir = TempDir::new().expect("a temporary directory");
         let config = write(&dir, "config.yaml", CONFIG);
         let free = "127.0.0.1:0";
         let mut args = vec!["standin", "--store", free, "--config", &config];
@@ -132,7 +137,7 @@
         self.entries[index]
             .addr("http")
             .parse()
-            .expect("an address")
+            .expect("a valid address")
     }
 
     fn client(&self, index: usize) -> EntryClient {
@@ -142,7 +147,7 @@
     async fn ready(&self) {
         for index in 0..2 {
             let client = self.client(index);
-            until(async || {
+            wait_until(async || {
                 let rows = client
                     .call(Method::GET, "/v1/operator/tables/ranges", &[], "")
                     .await;
@@ -165,7 +170,7 @@
         command.expect("the command runs")
     }
 
-    /// Requests to entry 1 until `stop` is set; gives how many, and failures.
+    /// Sends requests to `entry` until stopped; counts them and collects failures.
     fn load(&self, entry: usize) -> Load {
         let client = self.client(entry);
         let stop = std::sync::Arc::new(std::sync::atomic::AtomicBool::new(false));
@@ -174,7 +179,7 @@
             let mut failures = Vec::new();
             let mut count = 0;
             while !flag.load(std::sync::atomic::Ordering::Relaxed) {
-                let calls = (0..6).map(|_| client.call(Method::POST, REQUESTS, &[], SHORT));
+                let calls = (0..6).map(|_| client.call(Method::POST, REQUESTS, &[], SHORT_TASK));
                 for reply in futures_util::future::join_all(calls).await {
                     count += 1;
                     failures.extend(failure(reply));
@@ -186,7 +191,7 @@
     }
 }
 
-const SHORT: &str = r#"{"run_ms":30}"#;
+const SHORT_TASK: &str = r#"{"run_ms":30}"#;
 
 struct Load {
     stop: std::sync::Arc<std::sync::atomic::AtomicBool>,
@@ -196,7 +201,7 @@
 impl Load {
     async fn end(self) -> (usize, Vec<String>) {
         self.stop.store(true, std::sync::atomic::Ordering::Relaxed);
-        self.task.await.expect("the load runs")
+        self.task.await.expect("the load task completes")
     }
 }
 
@@ -208,7 +213,7 @@
     }
 }
 
-/// Only the first agent is in the other failure domain.
+/// Process settings; only the first agent is in failure domain `b`.
 fn process(name: &str, store: &str) -> String {
     let domain = if name == "agent-0" { "b" } else { "a" };
     format!(
@@ -223,21 +228,21 @@
     path.to_string_lossy().into_owned()
 }
 
-async fn until(mut check: impl AsyncFnMut() -> bool) {
-    let end = Instant::now() + LIMIT;
+async fn wait_until(mut check: impl AsyncFnMut() -> bool) {
+    let end = Instant::now() + TIMEOUT;
     while !check().await {
-        assert!(Instant::now() < end, "it does not come about");
+        assert!(Instant::now() < end, "condition not met within {TIMEOUT:?}");
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
 }
 
-fn text(output: &Output) -> String {
+fn output_text(output: &Output) -> String {
     let out = String::from_utf8_lossy(&output.stdout).into_owned();
     out + &String::from_utf8_lossy(&output.stderr)
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn callers_and_operators_get_what_they_ask_for() {
+async fn requests_jobs_queries_and_cancels_get_their_answers() {
     let fleet = Fleet::start();
     fleet.ready().await;
     let id = uuid::Uuid::now_v7().to_string();
@@ -249,16 +254,24 @@
     let (one, two) = tokio::join!(one, two);
     assert_eq!(one.expect("answered").body, two.expect("answered").body);
 
-    let why = fleet.winghold(&["query", &format!("why {id}")]);
-    assert!(text(&why).contains("placed"), "{}", text(&why));
-    let submitted = fleet.winghold(&["submit", "s", "--kind", "once", SHORT]);
-    assert!(submitted.status.success(), "{}", text(&submitted));
-    let unfit = fleet.winghold(&["submit", "s", "--kind", "heavy", SHORT]);
-    assert_eq!(unfit.status.code(), Some(5), "{}", text(&unfit));
-    assert!(text(&unfit).contains("CANNOT_RUN"), "{}", text(&unfit));
+    let explained = fleet.winghold(&["query", &format!("why {id}")]);
+    assert!(
+        output_text(&explained).contains("placed"),
+        "{}",
+        output_text(&explained)
+    );
+    let submitted = fleet.winghold(&["submit", "s", "--kind", "once", SHORT_TASK]);
+    assert!(submitted.status.success(), "{}", output_text(&submitted));
+    let unfit = fleet.winghold(&["submit", "s", "--kind", "heavy", SHORT_TASK]);
+    assert_eq!(unfit.status.code(), Some(5), "{}", output_text(&unfit));
+    assert!(
+        output_text(&unfit).contains("CANNOT_RUN"),
+        "{}",
+        output_text(&unfit)
+    );
     let wrong = fleet.winghold(&["query", "select x frm y"]);
     assert_eq!(wrong.status.code(), Some(2));
-    assert!(text(&wrong).contains("column 10"));
+    assert!(output_text(&wrong).contains("column 10"));
 
     let job = r#"{"tasks":[{"run_ms":3000},{"run_ms":3000}]}"#;
     let path = format!("{JOBS}?wait=false");
@@ -267,39 +280,46 @@
         .await
         .expect("answered");
     assert_eq!(started.status, 202, "{:?}", started.json());
-    let id = started.json()["id"].as_str().expect("an id").to_string();
+    let id = started.json()["id"]
+        .as_str()
+        .expect("the answer has an id")
+        .to_string();
     for _ in 0..2 {
         let cancelled = fleet.winghold(&["cancel", &id]);
         assert!(
-            text(&cancelled).contains("CANCELLED"),
+            output_text(&cancelled).contains("CANCELLED"),
             "{}",
-            text(&cancelled)
+            output_text(&cancelled)
         );
     }
     let path = format!("/v1/jobs/{id}");
-    let looked = clients[1]
+    let found = clients[1]
         .call(Method::GET, &path, &[], "")
         .await
         .expect("answered");
-    assert_eq!(looked.json()["name"], "CANCELLED");
+    assert_eq!(found.json()["name"], "CANCELLED");
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_configuration_is_in_force_everywhere_and_a_race_has_one_winner() {
+async fn a_configuration_reaches_all_processes_and_a_concurrent_change_is_refused() {
     let fleet = Fleet::start();
     fleet.ready().await;
     let path = write(&fleet.dir, "new.yaml", &format!("{CONFIG}\n# raised\n"));
     let first = fleet.winghold(&["config", "apply", &path, "--base", "1"]);
     let second = fleet.winghold(&["config", "apply", &path, "--base", "1"]);
-    assert!(first.status.success(), "{}", text(&first));
-    assert_eq!(second.status.code(), Some(4), "{}", text(&second));
-    until(async || {
+    assert!(first.status.success(), "{}", output_text(&first));
+    assert_eq!(second.status.code(), Some(4), "{}", output_text(&second));
+    wait_until(async || {
         let rows = fleet.winghold(&["--output", "json", "query", "select config from members"]);
-        text(&rows).matches("\"config\": 2").count() == 4
+        output_text(&rows).matches("\"config\": 2").count() == 4
     })
     .await;
     let history = fleet.winghold(&["config", "history"]);
-    assert!(text(&history).contains("+# raised"), "{}", text(&history));
+    assert!(
+        output_text(&history).contains("+# raised"),
+        "{}",
+        output_text(&history)
+    );
     let bad = write(
         &fleet.dir,
         "bad.yaml",
@@ -308,27 +328,30 @@
     let checked = fleet.winghold(&["config", "check", &bad]);
     assert_eq!(checked.status.code(), Some(2));
     assert!(
-        text(&checked).contains("survices: unknown key"),
+        output_text(&checked).contains("survices: unknown key"),
         "{}",
-        text(&checked)
+        output_text(&checked)
     );
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn drains_and_stops_under_load_fail_no_request() {
+async fn no_request_fails_while_agents_drain_and_stop_under_load() {
     let mut fleet = Fleet::start();
     fleet.ready().await;
     let load = fleet.load(1);
     let drained = fleet.winghold(&["drain", "agent-0", "--note", "test"]);
-    assert!(drained.status.success(), "{}", text(&drained));
-    until(async || {
+    assert!(drained.status.success(), "{}", output_text(&drained));
+    wait_until(async || {
         let query = "select name from targets where drained = true and running = 0";
-        text(&fleet.winghold(&["query", query])).contains("agent-0")
+        output_text(&fleet.winghold(&["query", query])).contains("agent-0")
     })
     .await;
     assert!(fleet.winghold(&["undrain", "agent-0"]).status.success());
     fleet.agents[2].terminate();
-    assert!(fleet.agents[2].ended_well(), "the agent does not stop");
+    assert!(
+        fleet.agents[2].exits_successfully(),
+        "the agent did not exit successfully"
+    );
     tokio::time::sleep(Duration::from_millis(300)).await;
     let (count, failures) = load.end().await;
     assert!(count > 20, "{count} requests");
@@ -336,25 +359,28 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_evacuated_failure_domain_gets_no_new_work_until_it_is_taken_back() {
+async fn an_evacuated_failure_domain_becomes_idle_without_failing_requests() {
     let fleet = Fleet::start();
     fleet.ready().await;
     let unknown = fleet.winghold(&["evacuate", "nowhere"]);
-    assert!(!unknown.status.success(), "no such domain");
+    assert!(
+        !unknown.status.success(),
+        "evacuating an unknown failure domain must fail"
+    );
     let load = fleet.load(1);
     let evacuated = fleet.winghold(&["evacuate", "b", "--note", "test"]);
-    assert!(evacuated.status.success(), "{}", text(&evacuated));
-    until(async || {
+    assert!(evacuated.status.success(), "{}", output_text(&evacuated));
+    wait_until(async || {
         let query = "select name from targets where evacuated = true and running = 0";
-        text(&fleet.winghold(&["query", query])).contains("agent-0")
+        output_text(&fleet.winghold(&["query", query])).contains("agent-0")
     })
     .await;
-    let history = text(&fleet.winghold(&["config", "history"]));
+    let history = output_text(&fleet.winghold(&["config", "history"]));
     assert!(history.contains("evacuated"), "{history}");
     assert!(fleet.winghold(&["unevacuate", "b"]).status.success());
-    until(async || {
+    wait_until(async || {
         let query = "select name from targets where evacuated = false";
-        text(&fleet.winghold(&["query", query])).contains("agent-0")
+        output_text(&fleet.winghold(&["query", query])).contains("agent-0")
     })
     .await;
     tokio::time::sleep(Duration::from_millis(300)).await;
@@ -364,7 +390,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_entry_that_stops_answers_what_is_under_way() {
+async fn a_stopping_entry_answers_its_open_requests() {
     let mut fleet = Fleet::start();
     fleet.ready().await;
     let client = fleet.client(0);
@@ -377,19 +403,22 @@
     fleet.entries[0].terminate();
     let failures: Vec<String> = calls
         .await
-        .expect("the calls run")
+        .expect("the calls complete")
         .into_iter()
         .filter_map(failure)
         .collect();
     assert!(failures.is_empty(), "{failures:?}");
-    assert!(fleet.entries[0].ended_well(), "the entry does not stop");
+    assert!(
+        fleet.entries[0].exits_successfully(),
+        "the entry did not exit successfully"
+    );
 }
 
-/// Path, headers and body of a bad request; status and field of its answer.
+/// Path, headers and body of a bad request; expected status and field named in the answer.
 type Case<'a> = (&'a str, &'a [(&'a str, &'a str)], &'a str, u16, &'a str);
 
 #[tokio::test(flavor = "multi_thread")]
-async fn bad_input_gets_a_clear_answer_and_harms_nobody() {
+async fn bad_requests_get_a_specific_error_and_leave_the_entry_working() {
     let fleet = Fleet::start();
     fleet.ready().await;
     let client = fleet.client(0);
@@ -427,31 +456,37 @@
     }
     let addr = fleet.entry(0);
     let slow = "POST /v1/services/s/requests HTTP/1.1\r\nhost: x\r\ncontent-length: 9\r\n\r\n{";
-    assert!(raw(addr, slow).starts_with("HTTP/1.1 408"), "a slow body");
+    assert!(
+        send_raw(addr, slow).starts_with("HTTP/1.1 408"),
+        "a slow body must get 408"
+    );
     let headers: String = (0..40).map(|n| format!("x-{n}: 1\r\n")).collect();
     let many = format!("GET /v1/ready HTTP/1.1\r\n{headers}\r\n");
     assert!(
-        raw(addr, &many).starts_with("HTTP/1.1 431"),
-        "too many headers"
+        send_raw(addr, &many).starts_with("HTTP/1.1 431"),
+        "too many headers must get 431"
     );
     assert!(
-        raw(addr, "nonsense\r\n\r\n").starts_with("HTTP/1.1 400"),
-        "no HTTP"
+        send_raw(addr, "nonsense\r\n\r\n").starts_with("HTTP/1.1 400"),
+        "a malformed request must get 400"
     );
     let reply = client
-        .call(Method::POST, REQUESTS, &[], SHORT)
+        .call(Method::POST, REQUESTS, &[], SHORT_TASK)
         .await
         .expect("answered");
     assert_eq!(reply.status, 200);
 }
 
-/// Sends bytes and reads until the connection closes or nothing more comes.
-fn raw(addr: SocketAddr, bytes: &str) -> String {
-    let mut stream = TcpStream::connect(addr).expect("it connects");
+/// Sends bytes and reads until the end of the response head, a read timeout or the end of
+/// the connection.
+fn send_raw(addr: SocketAddr, bytes: &str) -> String {
+    let mut stream = TcpStream::connect(addr).expect("the connection opens");
     stream
         .set_read_timeout(Some(Duration::from_secs(3)))
-        .expect("a limit");
-    stream.write_all(bytes.as_bytes()).expect("it is sent");
+        .expect("the read timeout is set");
+    stream
+        .write_all(bytes.as_bytes())
+        .expect("the bytes are sent");
     let mut reply = Vec::new();
     let mut buf = [0; 1_024];
     while let Ok(count) = stream.read(&mut buf) {
--- a/tests/encodings.rs
+++ b/tests/encodings.rs
@@ -1,5 +1,5 @@
-//! Guards against a change of what processes, the store and settings files hold:
-//! each fixture is decoded and encodes to the same names and the same bytes.
+//! Guards against changes of the encoding on the wire, in the store and in settings files:
+//! each fixture must decode, and encode to the same names and bytes.
 
 use std::fs;
 use std::path::PathBuf;
@@ -27,7 +27,7 @@
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-/// Checks JSON, MessagePack with names, and MessagePack by position, as hexadecimal digits.
+/// Checks JSON, and MessagePack with and without field names against hexadecimal digits.
 fn check<T: DeserializeOwned + Serialize>(name: &str) {
     let json = read(&format!("{name}.json"));
     let value: T = serde_json::from_str(&json).expect(name);
@@ -50,22 +50,22 @@
 }
 
 #[test]
-fn to_gate_keep_their_encoding() {
+fn frames_to_gates_keep_their_encoding() {
     check::<Frame<ToGate>>("to_gate");
 }
 
 #[test]
-fn to_entry_keep_their_encoding() {
+fn frames_to_entries_keep_their_encoding() {
     check::<Frame<ToEntry>>("to_entry");
 }
 
 #[test]
-fn gate_record_keep_their_encoding() {
+fn gate_records_keep_their_encoding() {
     check::<GateRecord>("gate_record");
 }
 
 #[test]
-fn peer_frame_keep_their_encoding() {
+fn peer_frames_keep_their_encoding() {
     check::<PeerFrame>("peer_frame");
 }
 
@@ -80,17 +80,17 @@
 }
 
 #[test]
-fn members_table_keep_their_encoding() {
+fn member_tables_keep_their_encoding() {
     check::<Table>("members_table");
 }
 
 #[test]
-fn member_record_keep_their_encoding() {
+fn member_records_keep_their_encoding() {
     check::<MemberRecord>("member_record");
 }
 
 #[test]
-fn config_record_keep_their_encoding() {
+fn config_records_keep_their_encoding() {
     check::<ConfigRecord>("config_record");
 }
 
@@ -105,7 +105,7 @@
 }
 
 #[test]
-fn configuration_keep_their_encoding() {
+fn configurations_keep_their_encoding() {
     check::<Config>("configuration");
 }
 
@@ -130,6 +130,6 @@
 }
 
 #[test]
-fn usage_keep_their_encoding() {
+fn resource_usage_keeps_its_encoding() {
     check::<Usage>("usage");
 }
--- a/tests/request_path.rs
+++ b/tests/request_path.rs
@@ -1,4 +1,4 @@
-//! The whole path: a request and a job through entry, owner, gate and target.
+//! Sends requests and jobs through entry, owner, gate and target.
 
 use http::Method;
 use winghold::client::EntryClient;
@@ -19,7 +19,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_request_and_a_job_get_their_whole_answers() -> Result<()> {
+async fn requests_and_jobs_get_complete_answers() -> Result<()> {
     let fleet = tokio::task::spawn_blocking(fleet)
         .await
         .expect("the fleet starts");
@@ -41,7 +41,8 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_resubmission_through_the_other_entry_joins_the_first() -> Result<()> {
+async fn a_resubmission_through_another_entry_gets_the_same_answer_without_a_second_start()
+-> Result<()> {
     let fleet = tokio::task::spawn_blocking(fleet)
         .await
         .expect("the fleet starts");
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Configuration, settings, queries and the table of result codes.
+//! Validates configuration, settings and queries, and the documented result codes.
 
 use winghold::code::ResultCode;
 use winghold::config::Config;
@@ -10,9 +10,9 @@
 const LANESURE: &str = include_str!("../examples/lanesure.yaml");
 const CODES_PAGE: &str = include_str!("../docs/RESULT-CODES.md");
 
-fn faults(text: &str) -> Vec<String> {
+fn errors(text: &str) -> Vec<String> {
     match Config::from_yaml(text) {
-        Err(Error::Invalid(faults)) => faults,
+        Err(Error::Invalid(errors)) => errors,
         other => panic!("{other:?}"),
     }
 }
@@ -25,28 +25,28 @@
 }
 
 #[test]
-fn every_unknown_key_is_named_with_its_line() {
+fn every_unknown_key_is_reported_with_its_line() {
     let text = format!("{LOGGER_INTAKE}\npolicy:\n  plaicement: random\nlimitz: {{}}\n");
-    let faults = faults(&text);
-    assert_eq!(faults.len(), 2, "{faults:?}");
+    let errors = errors(&text);
+    assert_eq!(errors.len(), 2, "{errors:?}");
     assert!(
-        faults
+        errors
             .iter()
-            .any(|fault| fault.contains("policy.plaicement: unknown key"))
+            .any(|error| error.contains("policy.plaicement: unknown key"))
     );
     assert!(
-        faults
+        errors
             .iter()
-            .any(|fault| fault.contains("limitz: unknown key"))
+            .any(|error| error.contains("limitz: unknown key"))
     );
     assert!(
-        faults.iter().all(|fault| fault.starts_with("line ")),
-        "{faults:?}"
+        errors.iter().all(|error| error.starts_with("line ")),
+        "{errors:?}"
     );
 }
 
 #[test]
-fn every_fault_of_meaning_is_reported_at_once() {
+fn all_invalid_values_are_reported_together() {
     let text = "
 regions: [{ name: r, failure_domains: [a, a] }]
 services:
@@ -56,7 +56,7 @@
 limits: { body_bytes: 0 }
 ownership: { lease_ms: 100, skew_ms: 200 }
 ";
-    let faults = faults(text);
+    let errors = errors(text);
     let keys = [
         "regions[0].failure_domains[1]",
         "services[0].kinds[1].name",
@@ -66,20 +66,20 @@
     ];
     for key in keys {
         assert!(
-            faults.iter().any(|fault| fault.contains(key)),
-            "{key} in {faults:?}"
+            errors.iter().any(|error| error.contains(key)),
+            "{key} in {errors:?}"
         );
     }
 }
 
 #[test]
-fn a_wrong_type_names_its_key() {
-    let faults = faults("regions: 3\nservices: []\n");
-    assert!(faults[0].contains("regions"), "{faults:?}");
+fn an_error_about_a_wrong_type_names_the_key() {
+    let errors = errors("regions: 3\nservices: []\n");
+    assert!(errors[0].contains("regions"), "{errors:?}");
 }
 
 #[test]
-fn settings_name_the_key_that_is_wrong() {
+fn settings_errors_name_the_invalid_key() {
     let text = "
 process: { name: '', failure_domain: a, peer_listen: '127.0.0.1:0', store: '127.0.0.1:7000' }
 service: s
@@ -87,16 +87,16 @@
 slots: 8
 connections: 4
 ";
-    let Err(Error::Invalid(faults)) = AgentSettings::from_yaml(text) else {
-        panic!("the settings are wrong");
+    let Err(Error::Invalid(errors)) = AgentSettings::from_yaml(text) else {
+        panic!("expected invalid settings to be refused");
     };
-    assert!(faults.iter().any(|fault| fault.contains("process.name")));
-    assert!(faults.iter().any(|fault| fault.contains("connections")));
+    assert!(errors.iter().any(|error| error.contains("process.name")));
+    assert!(errors.iter().any(|error| error.contains("connections")));
     assert!(EntrySettings::from_yaml("http_listen: 3").is_err());
 }
 
 #[test]
-fn queries_select_order_and_limit() {
+fn queries_filter_sort_and_limit_rows() {
     let statement = query::parse(
         "select name, n from targets where n >= 2 and name != 'c' order by n desc limit 2",
     );
@@ -117,7 +117,7 @@
 }
 
 #[test]
-fn faults_of_a_query_point_at_their_column() {
+fn query_errors_name_their_column() {
     let cases = [
         ("selec x from targets", 1),
         ("select x frm targets", 10),
@@ -135,7 +135,7 @@
 }
 
 #[test]
-fn the_page_of_result_codes_lists_every_code() {
+fn the_documentation_lists_every_result_code() {
     for code in ResultCode::ALL {
         let row = format!(
             "| {} | {} | {} |",
@@ -145,7 +145,7 @@
         );
         assert!(
             CODES_PAGE.contains(&row),
-            "docs/RESULT-CODES.md lacks `{row}`"
+            "docs/RESULT-CODES.md has no row `{row}`"
         );
     }
 }
--- a/tests/suspended_machine.rs
+++ b/tests/suspended_machine.rs
@@ -1,4 +1,4 @@
-//! A machine that is suspended for seconds: its usual steady clock leaves that time out.
+//! Guards against clocks that leave out the time in which the machine is suspended.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -11,34 +11,34 @@
 
 const SECOND_US: u64 = 1_000_000;
 
-/// A clock that the test sets.
+/// A clock set by the test.
 #[derive(Default)]
-struct SetClock {
+struct ManualClock {
     micros: AtomicU64,
 }
 
-impl SetClock {
-    fn pass(&self, micros: u64) {
+impl ManualClock {
+    fn advance(&self, micros: u64) {
         self.micros.fetch_add(micros, Ordering::Relaxed);
     }
 }
 
-impl SteadyClock for SetClock {
+impl SteadyClock for ManualClock {
     fn read(&self) -> Duration {
         Duration::from_micros(self.micros.load(Ordering::Relaxed))
     }
 }
 
-/// While it was suspended a peer went on sending; what waited in the buffer is as old as
-/// the peer's clock says, and the process knows that it stood still.
+/// The age of frames buffered during a suspension follows from the sender's clock, and the
+/// suspension is detected.
 #[test]
-fn what_waited_while_the_machine_was_suspended_is_old() {
-    let clock = Arc::new(SetClock::default());
+fn frames_buffered_during_a_suspension_count_as_old() {
+    let clock = Arc::new(ManualClock::default());
     let timer = Timer::on_clock(clock.clone());
     let mut frames = FrameClock::default();
     let mut suspension = Suspension::new(timer.now());
     assert_eq!(frames.age_us(timer.now(), 10 * SECOND_US), 0);
-    clock.pass(5 * SECOND_US);
+    clock.advance(5 * SECOND_US);
     let gap = suspension.record_turn(timer.now());
     assert_eq!(gap, Some(Duration::from_secs(5)));
     let age_us = frames.age_us(timer.now(), 11 * SECOND_US);
@@ -46,7 +46,7 @@
     assert_eq!(frames.age_us(timer.now(), 15 * SECOND_US), 0);
 }
 
-fn since_boot() -> Duration {
+fn boot_time() -> Duration {
     let read = clock_gettime(ClockId::Boottime);
     Duration::new(
         read.tv_sec.unsigned_abs(),
@@ -54,17 +54,15 @@
     )
 }
 
-/// Programs read the clock that counts suspension: between two readings it has gone on
-/// for as long as that one.
 #[test]
-fn programs_read_the_clock_that_counts_suspension() {
+fn timers_follow_the_clock_that_counts_suspension() {
     for timer in [Timer::start(), Timer::coarse()] {
-        let before = (since_boot(), timer.now(), since_boot());
+        let before = (boot_time(), timer.now(), boot_time());
         std::thread::sleep(Duration::from_millis(20));
-        let after = (since_boot(), timer.now(), since_boot());
-        let passed = Duration::from_micros(after.1.mono_us - before.1.mono_us);
-        let slack = Duration::from_micros(1);
-        assert!(passed + slack >= after.0 - before.2, "{passed:?}");
-        assert!(passed <= after.2 - before.0 + slack, "{passed:?}");
+        let after = (boot_time(), timer.now(), boot_time());
+        let elapsed = Duration::from_micros(after.1.mono_us - before.1.mono_us);
+        let tolerance = Duration::from_micros(1);
+        assert!(elapsed + tolerance >= after.0 - before.2, "{elapsed:?}");
+        assert!(elapsed <= after.2 - before.0 + tolerance, "{elapsed:?}");
     }
 }
