--- a/tests/failures.rs
+++ b/tests/failures.rs
@@ -137,7 +137,7 @@
 }
 
 #[test]
-fn submissions_are_refused_as_not_run_during_a_store_outage_longer_than_the_lease() {
+fn submissions_are_refused_during_a_long_store_outage_and_complete_after_it() {
     let mut fleet = FakeFleet::new(4, 9);
     fleet.store.down = true;
     fleet.advance(3 * SECOND);
@@ -156,7 +156,7 @@
 }
 
 #[test]
-fn submissions_complete_during_a_store_outage_shorter_than_the_lease() {
+fn submissions_made_just_after_a_store_outage_begins_complete() {
     let mut fleet = FakeFleet::new(4, 10);
     fleet.store.down = true;
     let ids = submit_many(&mut fleet, 20, 4);
