--- a/src/ephemeral/dispatcher/admission.rs
+++ b/src/ephemeral/dispatcher/admission.rs
@@ -27,17 +27,18 @@
 const MAX_RETRY_BASE_MS: u64 = 1_000;
 /// Weight of the caller's estimate against the recorded run time.
 const ESTIMATE_WEIGHT: f64 = 0.5;
-/// Share of a job's patience, the time that its tasks may wait at gates, that the expected
-/// wait may take for urgent jobs; the rest allows for errors of the estimate.
+/// Limit of the expected wait of urgent jobs, as a share of their patience (the time that
+/// their tasks may wait at gates); the rest allows for errors of the estimate.
 const URGENT_ADMIT_SHARE: f64 = 0.85;
-/// The same for other jobs when there is no congestion.
+/// Limit of the expected wait of other jobs without congestion, as a share of patience.
 const ADMIT_SHARE: f64 = 0.6;
-/// The same for other jobs at full congestion.
+/// Limit of the expected wait of other jobs at full congestion, as a share of patience.
 const CONGESTED_ADMIT_SHARE: f64 = 0.2;
-/// The same for other jobs without congestion if deferral is on, as they can then also wait
-/// in the entry.
+/// Limit of the expected wait of other jobs without congestion if deferral is on, as a share
+/// of patience; they can then also wait in the entry.
 const QUEUE_SHARE: f64 = 0.1;
-/// The same for urgent jobs at full congestion if deferral is on.
+/// Limit of the expected wait of urgent jobs at full congestion if deferral is on, as a
+/// share of patience.
 const URGENT_QUEUE_SHARE: f64 = 0.4;
 /// Share of its objective for which a job is parked; the rest lets its caller try
 /// elsewhere.
@@ -99,6 +100,7 @@
             });
         }
         let congestion_above = self.congestion_above(now, job);
+        // The level, from 0 to 1, is used as a number of tasks.
         let headroom = match self.scheduling.deferral {
             true => congestion_above,
             false => 0.0,
@@ -110,8 +112,8 @@
         let patience_us = job.patience_us(now.mono_us) as f64;
         let wait = waits.first_us as f64 / patience_us.max(1.0);
         let typical_us = self.typical_run.us();
-        let class = self.congestion_class(job);
-        let congestion = self.congestion.class(class);
+        let priority = self.congestion_priority(job);
+        let congestion = self.congestion.class(priority);
         congestion.observe(now, wait, typical_us);
         let level = congestion.level();
         let max_wait_us = patience_us * self.admit_share(job, level) * (1.0 - congestion_above);
@@ -168,19 +170,20 @@
         some && connected.all(|gate| gate.load.evacuated)
     }
 
-    /// Priority whose recorded waits apply to this job.
-    fn congestion_class(&self, job: &Job) -> Priority {
+    /// Priority whose recorded waits apply to this job; one for all jobs without priority
+    /// classes.
+    fn congestion_priority(&self, job: &Job) -> Priority {
         match self.scheduling.priority_classes {
             true => job.route.priority(&self.scheduling),
             false => Priority::URGENT,
         }
     }
 
-    /// Congestion level of more urgent jobs.
+    /// Congestion level of more urgent jobs, from 0 to 1.
     pub(super) fn congestion_above(&self, now: Moment, job: &Job) -> f64 {
-        let class = self.congestion_class(job);
+        let priority = self.congestion_priority(job);
         self.congestion
-            .level_above(now, class, self.typical_run.us())
+            .level_above(now, priority, self.typical_run.us())
     }
 
     /// Share of a job's patience that the expected wait may take at congestion `level`.
@@ -221,8 +224,8 @@
         }
     }
 
-    /// Whether all tasks of the job could begin at once with room for `headroom` tasks left
-    /// free.
+    /// Whether all tasks of the job could begin at once with room for `headroom` more tasks
+    /// kept free at each gate.
     pub(super) fn fits_with_headroom(&mut self, now: Moment, job: &Job, headroom: f64) -> bool {
         let waits = self.waits_with_headroom(now, job, headroom);
         waits.is_some_and(|waits| waits.longest_us == 0)
@@ -260,8 +263,8 @@
         })
     }
 
-    /// Reports to the subset how much processor time open jobs of the same kinds need,
-    /// including this one.
+    /// Reports to the subset how much CPU open jobs of the same kinds need, including
+    /// this one.
     fn update_gate_demand(&mut self, now: Moment, job: &Job) {
         for kind in &job.kinds {
             let same_kind = |other: &&Job| other.kinds.contains(kind);
--- a/src/ephemeral/dispatcher/deferral.rs
+++ b/src/ephemeral/dispatcher/deferral.rs
@@ -1,10 +1,10 @@
 //! Deferral: jobs that find no room wait in the entry.
 //!
-//! A deferred job is at no gate, so it delays no other job there. Its tasks are sent once
-//! all of them find spare room, and return at once if that room is taken. Jobs that can
-//! still meet their objective go first; the others must leave some room free. A job is held
-//! for part of its caller's waiting time and then refused. It is refused at once if its
-//! class is served too slowly for the job to find room in that time.
+//! A deferred job waits at no gate, so it delays no other job there. Its tasks are sent
+//! once all of them find spare room, and return at once if that room is taken. A job is
+//! held for part of its caller's waiting time and then refused. The jobs of one priority
+//! form two classes: those that can meet their objective and those that miss it. A job is
+//! refused at once if its class is served too slowly for the job to find room in time.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::time::Duration;
@@ -23,26 +23,29 @@
 const MAX_TRIED_JOBS: usize = 4;
 /// Time constant of the rates at which work is requested and served.
 const RATE_WINDOW: Duration = Duration::from_secs(1);
-/// Share of the requested work that is expected to find spare room while nothing is
-/// deferred.
+/// Served rate of a class without held jobs, as a share of its requested rate. Only held
+/// jobs count as served, so the rate is not measured then.
 const EXPECTED_SERVED_SHARE: f64 = 0.6;
 /// Jobs of a class that are held regardless of its rate, so that the rate is measured
 /// again.
 const MIN_HELD_JOBS: usize = 1;
 
-/// Headroom, in tasks, kept free beside a job that is surplus or misses its objective, if
-/// gates do not keep headroom themselves.
+/// Number of tasks for which a job that is surplus or misses its objective leaves room at
+/// each gate, if gates do not keep headroom themselves.
 const LATE_JOB_HEADROOM_TASKS: f64 = 2.0;
 
-/// Position in the queue of deferred jobs. Jobs that have begun go first, as their work
-/// would be lost, then jobs that can meet their objective.
+/// Position in the queue of deferred jobs; the order of the fields is the sort order. Jobs
+/// that may have begun go first, as their work would be lost; then jobs that can meet their
+/// objective, jobs that are not surplus, more urgent jobs and jobs that are due earlier.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct QueuePosition {
-    untouched: bool,
+    /// Whether no worker can have begun a task; tasks may be at gates.
+    not_begun: bool,
     misses_objective: bool,
     surplus: bool,
     priority: Priority,
-    /// Latest begin for the objective, or the deadline if that is past.
+    /// Latest begin for the objective, or the deadline if the job misses its objective; in
+    /// monotonic microseconds.
     due_us: u64,
     job: JobId,
 }
@@ -53,11 +56,14 @@
 /// Deferred jobs of one class; work is in core-microseconds.
 #[derive(Debug, Default)]
 struct Class {
+    /// Work of the held jobs. A job that is sent stays here until one of its tasks
+    /// begins, or until it is finished or withdrawn.
     held: BTreeMap<JobId, f64>,
     /// Work requested per second.
     requested_per_s: f64,
     /// Work served with spare room per second.
     served_per_s: f64,
+    /// When the rates were last decayed, in monotonic microseconds.
     at_us: u64,
 }
 
@@ -80,8 +86,8 @@
         self.held.values().sum()
     }
 
-    /// Counts a held job as served.
-    fn record_start(&mut self, job: JobId) {
+    /// Counts the whole work of a held job as served; the job is no longer held.
+    fn count_served(&mut self, job: JobId) {
         let work = self.held.remove(&job).unwrap_or(0.0);
         self.served_per_s += work / RATE_WINDOW.as_secs_f64();
     }
@@ -90,7 +96,9 @@
 /// Queue of deferred jobs, with the rates at which their classes are served.
 #[derive(Debug, Default)]
 pub(super) struct Deferral {
+    /// Jobs with tasks to send.
     queue: BTreeSet<QueuePosition>,
+    /// Positions of the queued jobs.
     positions: HashMap<JobId, QueuePosition>,
     classes: BTreeMap<ClassKey, Class>,
 }
@@ -102,8 +110,8 @@
         class
     }
 
-    /// Counts the work of a requested job, which may be held before or after it misses its
-    /// objective.
+    /// Counts the work of a requested job in both classes of its priority, as the job may
+    /// be held before or after it misses its objective.
     fn add_request(&mut self, now: Moment, priority: Priority, job: &Job) {
         for misses_objective in [false, true] {
             let class = self.class(now, (priority, misses_objective));
@@ -126,6 +134,7 @@
         self.queue.insert(position);
     }
 
+    /// Removes a job from the queue; it stays held.
     fn remove(&mut self, job: JobId) {
         if let Some(position) = self.positions.remove(&job) {
             self.queue.remove(&position);
@@ -139,10 +148,11 @@
         Some(class)
     }
 
-    /// Records that a task of a job has begun.
+    /// Records that a task of a job has begun. At the first one, the work of the whole job
+    /// counts as served.
     pub fn record_start(&mut self, now: Moment, job: JobId) {
         if let Some(class) = self.class_of_held(now, job) {
-            class.record_start(job);
+            class.count_served(job);
         }
     }
 
@@ -157,6 +167,7 @@
     /// Expected time to serve the held jobs of this and more urgent priorities, in
     /// microseconds.
     pub fn wait_us(&mut self, now: Moment, priority: Priority) -> f64 {
+        // Includes the class of `priority` that misses its objective.
         let classes = self.classes.range_mut(..=(priority, true));
         let (held, served) = classes.fold((0.0, 0.0), |(held, served), (_, class)| {
             class.decay(now);
@@ -189,7 +200,7 @@
         let misses_objective = job.misses_objective(now.mono_us);
         QueuePosition {
             surplus: job.surplus,
-            untouched: !job.may_have_run,
+            not_begun: !job.may_have_run,
             misses_objective,
             priority: job.route.priority(&self.scheduling),
             due_us: match misses_objective {
@@ -208,7 +219,7 @@
         }
     }
 
-    /// Until when a job is held; `None` if it is to be refused.
+    /// Until when a job is held, in monotonic microseconds; `None` if it is to be refused.
     pub(super) fn deferred_until(&mut self, now: Moment, job: &Job) -> Option<u64> {
         if !self.scheduling.deferral {
             return None;
@@ -226,6 +237,7 @@
     /// Defers a job that is at no gate if it is expected to find room, and refuses it
     /// otherwise.
     pub(super) fn defer_or_refuse(&mut self, now: Moment, id: JobId, why: &str) {
+        // The job is outside the map while methods that borrow the dispatcher use it.
         let Some(mut job) = self.jobs.remove(&id) else {
             return;
         };
@@ -238,6 +250,7 @@
         }
         let retry_after_ms = self.retry_after_ms(now, &job);
         self.jobs.insert(id, job);
+        // `finish` needs the job in the map.
         if until_us.is_none() {
             self.finish(now, id, refused(why, retry_after_ms));
         }
@@ -264,7 +277,7 @@
         }
     }
 
-    /// Sends the first queued jobs whose tasks all find spare room.
+    /// Tries the first queued jobs and sends those whose tasks all find spare room.
     pub(super) fn place_deferred(&mut self, now: Moment) {
         let positions = self.deferral.queue.iter().take(MAX_TRIED_JOBS);
         let candidates: Vec<QueuePosition> = positions.copied().collect();
@@ -272,6 +285,7 @@
             let Some(job) = self.jobs.remove(&position.job) else {
                 continue;
             };
+            // A begun job is not checked as a whole: each waiting task that finds room is sent.
             let send = job.may_have_run || self.has_spare_room(now, &job);
             let waiting: Vec<u32> = job.waiting_tasks().collect();
             self.jobs.insert(position.job, job);
@@ -288,8 +302,10 @@
         }
     }
 
+    /// Whether all tasks of a job could begin at once beside the headroom that it must leave.
     fn has_spare_room(&mut self, now: Moment, job: &Job) -> bool {
         let needs = job.spec.needs.cpu_milli.max(1);
+        // Cheap check first: free slots of all gates, whatever their service.
         let slots = self
             .gates
             .values()
@@ -300,13 +316,14 @@
         let headroom = match job.surplus || job.misses_objective(now.mono_us) {
             true if self.scheduling.headroom => 0.0,
             true => LATE_JOB_HEADROOM_TASKS,
+            // A level from 0 to 1, used as a number of tasks.
             false => self.congestion_above(now, job),
         };
         self.fits_with_headroom(now, job, headroom)
     }
 
-    /// Gives up queued jobs whose hold time is over, and begun ones with a task that can no
-    /// longer begin in time.
+    /// Gives up untouched jobs whose hold time is over, and other queued jobs whose waiting
+    /// tasks can no longer end before the deadline.
     pub(super) fn end_unserved_deferred(&mut self, now: Moment) {
         let positions = self.deferral.queue.iter();
         let jobs = positions.filter_map(|position| self.jobs.get(&position.job));
--- a/src/ephemeral/dispatcher/job.rs
+++ b/src/ephemeral/dispatcher/job.rs
@@ -51,7 +51,9 @@
     pub route: Arc<Route>,
     /// Kinds by which the entry chooses gates.
     pub kinds: Vec<JobKind>,
+    /// Callers that wait for the answer.
     pub waiters: Vec<WaiterId>,
+    /// When it arrived; all points in time are in monotonic microseconds.
     pub arrived_us: u64,
     /// Expected run time of the longest task, in microseconds.
     pub expected_us: u64,
@@ -115,32 +117,34 @@
         (self.expected_us as f64 * self.route.stretch) as u64 + self.route.slack_us
     }
 
-    /// Time left to end a task within the objective.
+    /// Time left to end a task within the objective, in microseconds.
     pub fn objective_left_us(&self, now_us: u64) -> u64 {
         let until_us = self.arrived_us + self.objective_us();
         until_us.saturating_sub(now_us + MESSAGE_OVERHEAD_US)
     }
 
-    /// Slack of the objective that is left after the time since arrival, in microseconds;
-    /// may be negative.
+    /// Constant part of the objective minus the time since arrival and the time for messages,
+    /// in microseconds; may be negative.
     pub fn slack_left_us(&self, now_us: u64) -> f64 {
         let spent_us = now_us.saturating_sub(self.arrived_us) + MESSAGE_OVERHEAD_US;
         self.route.slack_us as f64 - spent_us as f64
     }
 
-    /// Latest begin of a task that meets the objective.
+    /// Latest begin of a task that meets the objective, in monotonic microseconds.
     pub fn latest_begin_us(&self) -> u64 {
         let run_us = (self.expected_us as f64 * RUN_TIME_MARGIN) as u64 + MESSAGE_OVERHEAD_US;
         self.arrived_us + self.objective_us().saturating_sub(run_us)
     }
 
-    /// Latest begin of a task that ends before the deadline.
+    /// Latest begin of a task that ends before the deadline, in monotonic microseconds.
     pub fn latest_begin_for_deadline_us(&self) -> u64 {
         self.deadline_us
             .saturating_sub(self.expected_us + MESSAGE_OVERHEAD_US)
     }
 
-    /// How long a start may wait for room at a gate from `now_us` on.
+    /// How long a start may wait for room at a gate from `now_us` on, in microseconds. Begun
+    /// and deferred jobs may wait as long as they can meet the deadline, others as long as
+    /// they can meet the objective.
     pub fn patience_us(&self, now_us: u64) -> u64 {
         let until_us = match self.may_have_run || self.is_deferred() {
             true => self.latest_begin_for_deadline_us(),
@@ -149,7 +153,7 @@
         until_us.saturating_sub(now_us)
     }
 
-    /// Priority of its tasks.
+    /// Priority of its tasks: best effort if it is deferred and surplus or late.
     pub fn priority(&self, scheduling: &Scheduling, now_us: u64) -> Priority {
         match self.is_deferred() && (self.surplus || self.misses_objective(now_us)) {
             true => Priority::BEST_EFFORT,
--- a/src/ephemeral/dispatcher/mod.rs
+++ b/src/ephemeral/dispatcher/mod.rs
@@ -100,6 +100,7 @@
 /// Session with a gate, from the hello on.
 #[derive(Debug)]
 struct GateSession {
+    /// Name of the gate.
     gate: Arc<str>,
     /// When a message was last sent, in monotonic microseconds.
     sent_us: u64,
@@ -107,7 +108,9 @@
 
 #[derive(Debug)]
 struct FinishedJob {
+    /// Answer to repeat; `None` if the job may be submitted anew.
     answer: Option<Answer>,
+    /// Number after which the run numbers continue if the job is submitted anew.
     next_run: u32,
 }
 
@@ -118,26 +121,29 @@
     limits: Limits,
     log: Logger,
     gates: BTreeMap<Arc<str>, GateView>,
-    /// Time since which at least one gate has taken work.
+    /// Time since which at least one gate has taken work, in monotonic microseconds.
     open_gate_since_us: Option<u64>,
     sessions: HashMap<SessionId, GateSession>,
     subset: Subset,
-    /// Time of the last tick.
+    /// Time of the last tick, in monotonic microseconds.
     last_tick_us: u64,
-    /// Time since which frames have been read without interruption.
+    /// Time since which frames have been read without interruption, in monotonic
+    /// microseconds.
     reading_since_us: u64,
+    /// Open jobs.
     jobs: HashMap<JobId, Job>,
     /// Jobs with tasks to place, by the latest begin for their objective.
     backlog: BTreeSet<(u64, JobId)>,
     /// Open jobs by deadline.
     deadlines: BTreeSet<(u64, JobId)>,
+    /// Recently finished jobs.
     finished: HashMap<JobId, FinishedJob>,
     /// Finished jobs with the time of their end, oldest first.
     finished_order: VecDeque<(u64, JobId)>,
     losses: LossLog,
     /// Tasks at lost gates, by the name of the gate.
     orphaned_tasks: HashMap<Arc<str>, OrphanedTasks>,
-    /// When each suspect gate may be probed again.
+    /// When each suspect gate may be probed again, in monotonic microseconds.
     probes: HashMap<Arc<str>, u64>,
     congestion: CongestionByPriority,
     deferral: Deferral,
--- a/src/ephemeral/placement.rs
+++ b/src/ephemeral/placement.rs
@@ -25,19 +25,22 @@
 /// tasks over workers with free room.
 const CROWDING_COST: f64 = 0.4;
 /// Cost of using a fast worker for a task that is short compared with its deadline, in
-/// typical run times; keeps fast workers free for long tasks.
+/// typical run times per unit of slowness below 1. It keeps fast workers free for long
+/// tasks.
 const FAST_WORKER_COST: f64 = 0.25;
 /// Cost of a task that misses its objective, in typical run times; a slow worker is then
 /// worth avoiding at the price of a long wait.
 const MISS_COST: f64 = 1.0;
-/// Shares of the time to the objective between which the estimated chance of a miss rises
-/// from 0 to 1.
+/// Expected end, as a share of the time to the objective, up to which the estimated chance
+/// of a miss is 0; it then rises linearly.
 const MISS_RAMP_START: f64 = 0.8;
+/// Expected end, as a share of the time to the objective, from which the chance is 1.
 const MISS_RAMP_END: f64 = 1.1;
-/// [`FAST_WORKER_COST`] with an [`ObjectiveModel`], which by itself keeps tasks off slow
-/// workers.
+/// Cost of using a fast worker when an [`ObjectiveModel`] is used, in the same unit as
+/// [`FAST_WORKER_COST`]; the model by itself keeps tasks off slow workers.
 const FAST_WORKER_COST_WITH_MODEL: f64 = 0.1;
-/// Cost of a task that makes its job late, in units of the job's work.
+/// Cost of a task that makes its job late, as a multiple of the summed expected run times of
+/// the job's tasks.
 const JOB_MISS_COST: f64 = 3.0;
 /// Factor on the run time when the chance of a miss is computed, as worker speeds are
 /// uncertain.
@@ -76,19 +79,20 @@
     pub starts_sent: u64,
     /// Runs of open jobs at the gate.
     open_runs: HashSet<RunId>,
-    /// When a start was last sent while no run was open.
-    busy_since_us: u64,
-    /// When the last run at the gate ended.
-    busy_until_us: u64,
+    /// When a start was last sent while no run was open, in monotonic microseconds.
+    idle_ended_us: u64,
+    /// When an open run was last removed, in monotonic microseconds.
+    last_removal_us: u64,
     /// Starts that the last load does not include, oldest first.
     unacknowledged: VecDeque<UnacknowledgedStart>,
     /// How long the gate takes to acknowledge starts.
     acknowledgement_times: AnswerTimes,
-    /// When the connection of the current or upcoming session was opened.
+    /// When the newest connection was opened, in monotonic microseconds; its session may not
+    /// be open yet.
     connected_us: u64,
     /// Whether frames or acknowledgements are overdue; no task is placed there then.
     pub overdue: bool,
-    /// Processor time reserved for tasks of a tentative placement.
+    /// CPU reserved by a tentative placement, in thousandths of a core.
     reserved_cpu_milli: u64,
 }
 
@@ -104,8 +108,8 @@
             claimed: Vec::new(),
             starts_sent: 0,
             open_runs: HashSet::new(),
-            busy_since_us: 0,
-            busy_until_us: 0,
+            idle_ended_us: 0,
+            last_removal_us: 0,
             unacknowledged: VecDeque::new(),
             acknowledgement_times: AnswerTimes::default(),
             connected_us: now_us,
@@ -114,7 +118,7 @@
         }
     }
 
-    /// Resets the state of the previous session.
+    /// Resets the state of the previous session for a new connection.
     pub fn begin_session(&mut self, now: Moment) {
         self.starts_sent = 0;
         self.unacknowledged.clear();
@@ -137,7 +141,7 @@
     /// Records a start and returns its number in the session.
     pub fn record_start(&mut self, now: Moment, run: RunId, needs: Resources) -> u64 {
         if self.open_runs.is_empty() {
-            self.busy_since_us = now.mono_us;
+            self.idle_ended_us = now.mono_us;
         }
         self.open_runs.insert(run);
         self.starts_sent += 1;
@@ -157,23 +161,25 @@
 
     /// Whether runs of open jobs are at the gate, or were within the last `linger`.
     pub fn is_busy(&self, now: Moment, linger: Duration) -> bool {
-        !self.open_runs.is_empty() || now.mono_us < self.busy_until_us + micros(linger)
+        !self.open_runs.is_empty() || now.mono_us < self.last_removal_us + micros(linger)
     }
 
     /// Whether the gate is expected to send heartbeats at the interval of a session with
-    /// work. The gate keeps that interval for the whole linger time, so half of it is safe.
+    /// work. The gate keeps that interval for the whole linger time; only half of it is
+    /// relied on here.
     fn has_fast_heartbeats(&self, now: Moment, limits: &Limits) -> bool {
         self.is_busy(now, limits.linger / 2)
     }
 
-    /// Whether the gate has been silent for so long that it counts as lost. The first start
-    /// after a pause restarts the period.
+    /// Whether the gate has been silent for so long that it counts as lost. The silence is
+    /// counted from the last frame, or from a later start that was sent while no run was
+    /// open.
     pub fn is_gone(&self, now: Moment, limits: &Limits) -> bool {
         let silence = match self.has_fast_heartbeats(now, limits) {
             true => limits.peer_timeout,
             false => limits.idle_peer_timeout,
         };
-        now.mono_us > self.last_frame_us.max(self.busy_since_us) + micros(silence)
+        now.mono_us > self.last_frame_us.max(self.idle_ended_us) + micros(silence)
     }
 
     /// Whether a frame or an acknowledgement is overdue. This process has read frames
@@ -183,12 +189,15 @@
             true => limits.reconnect_after,
             false => limits.idle_heartbeat_interval + limits.reconnect_after,
         };
-        let since_us = reading_since_us.max(self.connected_us);
-        let last_frame_us = self.last_frame_us.max(since_us).max(self.busy_since_us);
+        let counted_from_us = reading_since_us.max(self.connected_us);
+        let last_frame_us = self
+            .last_frame_us
+            .max(counted_from_us)
+            .max(self.idle_ended_us);
         let start = self.unacknowledged.front();
-        let start_due_us = start.map(|start| start.sent_us.max(since_us));
-        let start_late = start_due_us.is_some_and(|sent_us| {
-            now.mono_us > sent_us + micros(self.acknowledgement_times.timeout())
+        let start_counted_from_us = start.map(|start| start.sent_us.max(counted_from_us));
+        let start_late = start_counted_from_us.is_some_and(|from_us| {
+            now.mono_us > from_us + micros(self.acknowledgement_times.timeout())
         });
         start_late || now.mono_us > last_frame_us + micros(frame_timeout)
     }
@@ -207,7 +216,7 @@
     pub fn remove_run(&mut self, now: Moment, run: RunId) {
         self.unacknowledged.retain(|start| start.run != run);
         if self.open_runs.remove(&run) {
-            self.busy_until_us = now.mono_us;
+            self.last_removal_us = now.mono_us;
         }
     }
 
@@ -233,12 +242,14 @@
         self.load.worker.as_ref()
     }
 
-    /// Processor time needed beyond what is free, including `needs`.
+    /// CPU needed beyond what is free, in thousandths of a core. It covers `needs`, the queue
+    /// and unacknowledged starts.
     fn cpu_shortfall(&self, needs: &Resources, queue: QueueLoad) -> f64 {
         let wanted = needs.cpu_milli + queue.cpu_milli + self.unacknowledged_cpu_milli();
         wanted as f64 - self.load.free.cpu_milli as f64
     }
 
+    /// CPU of unacknowledged starts and of tentative reservations.
     fn unacknowledged_cpu_milli(&self) -> u64 {
         let sent = self
             .unacknowledged
@@ -247,19 +258,21 @@
         sent.sum::<u64>() + self.reserved_cpu_milli
     }
 
+    /// Expected wait for room, in microseconds.
     fn wait_us(&self, request: &PlacementRequest<'_>, capacity: &Resources) -> f64 {
         let queue = self.load.queue_ahead(request.priority);
         let shortfall = self.cpu_shortfall(request.needs, queue);
         if shortfall <= 0.0 {
             return 0.0;
         }
-        let first_us = queue.wait_us as f64;
+        // The reported wait covers the queued runs, so their CPU is not counted again.
+        let queue_wait_us = queue.wait_us as f64;
         let unacknowledged = self.unacknowledged_cpu_milli() as f64;
         let mean_us = match self.load.mean_run_us {
             0 => request.typical_run_us as f64,
             mean_us => mean_us as f64,
         };
-        first_us + unacknowledged * mean_us / capacity.cpu_milli.max(1) as f64
+        queue_wait_us + unacknowledged * mean_us / capacity.cpu_milli.max(1) as f64
     }
 
     /// Run time on this worker relative to the expected run time.
@@ -279,13 +292,14 @@
     pub constraints: &'a Constraints,
     /// Priority of the task.
     pub priority: Priority,
-    /// Run time on a worker of average speed, in microseconds.
+    /// Expected run time on a worker with a slowness of 1, in microseconds.
     pub expected_us: u64,
     /// Time left until the deadline, in microseconds.
     pub deadline_left_us: u64,
     /// Time left to end the task within the objective, in microseconds.
     pub objective_left_us: u64,
-    /// Typical run time of all tasks, in microseconds; unit of the placement costs.
+    /// Typical run time over the tasks of all services, in microseconds; unit of most
+    /// placement costs.
     pub typical_run_us: u64,
     /// Model of the chance to meet the objective, if placement uses it.
     pub objective_model: Option<ObjectiveModel<'a>>,
@@ -298,10 +312,11 @@
     pub spread: &'a RunSpread,
     /// Number of tasks of the job.
     pub tasks: u32,
-    /// Objective as a multiple of the longest task's run time.
+    /// Part of the objective that grows with the longest task's run time, as a multiple of
+    /// that time.
     pub stretch: f64,
-    /// Slack of the objective that is left after the time since arrival, in microseconds;
-    /// may be negative.
+    /// Constant part of the objective minus the time already spent, in microseconds; may be
+    /// negative.
     pub slack_us: f64,
 }
 
@@ -313,8 +328,8 @@
         }
     }
 
-    /// Cost of missing the objective, in microseconds. With a model, it is scaled by the
-    /// work of the whole job.
+    /// Cost of missing the objective, in microseconds. With a model, it is a multiple of the
+    /// summed expected run times of the job's tasks.
     fn miss_cost_us(&self) -> f64 {
         match &self.objective_model {
             Some(objective_model) => {
@@ -324,16 +339,19 @@
         }
     }
 
-    /// Chance that the task misses its objective after this wait and run time.
+    /// Chance that the task misses its objective after this wait and run time, both in
+    /// microseconds.
     fn miss_chance(&self, wait_us: f64, run_us: f64) -> f64 {
         match &self.objective_model {
-            Some(objective_model) => objective_model.miss_chance(self.expected_us, wait_us, run_us),
+            Some(objective_model) => {
+                objective_model.late_job_chance(self.expected_us, wait_us, run_us)
+            }
             None => self.estimate_miss_chance(wait_us + run_us),
         }
     }
 
-    /// Estimated chance of a miss without a model, for a task that ends after `end_us`; 0
-    /// if the objective is past anyway.
+    /// Estimated chance of a miss without a model, for a task that ends after `end_us`. If
+    /// no time to the objective is left, it is 0, as the task misses it at every gate.
     fn estimate_miss_chance(&self, end_us: f64) -> f64 {
         if self.objective_left_us == 0 {
             return 0.0;
@@ -342,7 +360,7 @@
         ((share - MISS_RAMP_START) / (MISS_RAMP_END - MISS_RAMP_START)).clamp(0.0, 1.0)
     }
 
-    /// Whether `worker` could run it now if it were empty.
+    /// Whether `worker`, at its present capacity, could run it if it ran nothing else.
     pub fn fits(&self, worker: &WorkerTraits) -> bool {
         self.is_allowed_on(worker) && self.needs.fits_in(&worker.capacity)
     }
@@ -360,7 +378,9 @@
 }
 
 impl ObjectiveModel<'_> {
-    fn miss_chance(&self, expected_us: u64, wait_us: f64, run_us: f64) -> f64 {
+    /// Chance that the task makes its job late. `expected_us` is the expected run time at a
+    /// slowness of 1, `run_us` the one on the chosen worker.
+    fn late_job_chance(&self, expected_us: u64, wait_us: f64, run_us: f64) -> f64 {
         self.spread.miss_chance(&PlannedRun {
             begin_us: wait_us,
             run_us: run_us * RUN_TIME_MARGIN,
@@ -387,6 +407,7 @@
 /// Chooses gates for tasks.
 #[derive(Debug)]
 pub struct Placer {
+    /// Factor on the run time of a task that is not in the rack of its data.
     remote_data_factor: f64,
     rng: StdRng,
 }
@@ -423,6 +444,7 @@
                 .saturating_sub(gate.unacknowledged_cpu_milli()) as f64;
             let used = 1.0 - free / worker.capacity.cpu_milli.max(1) as f64;
             let noise_us = self.rng.random::<f64>() * SCORE_NOISE * typical_us;
+            // Negative for slow workers: their score improves, most of all for short tasks.
             let fast_worker_us = request.fast_worker_cost()
                 * typical_us
                 * (1.0 - gate.slowness())
@@ -430,6 +452,7 @@
             let crowding_us = CROWDING_COST * typical_us * used * used;
             let miss_chance = request.miss_chance(wait_us, run_us);
             let missed_us = request.miss_cost_us() * miss_chance;
+            // The run time is weighted by its share of the time to the deadline.
             let score = wait_us
                 + run_us * deadline_share
                 + crowding_us
