--- a/src/ephemeral/gate/answers.rs
+++ b/src/ephemeral/gate/answers.rs
@@ -61,8 +61,8 @@
             }
             let unanswered = matches!(answer, Err(WorkerCallError::Unanswered));
             let wanted = self.runs.get(&run).is_some_and(|record| {
-                // After a stall of this process, an answer may be handled before the expiry
-                // of its entry.
+                // After a stall of this process, an answer may be handled before `tick`
+                // expires an owner that has been silent for too long.
                 self.is_entry_alive(now, &record.owner)
             });
             let blocked = self.is_unresponsive(now) || self.evacuation.blocks_starts(now);
@@ -88,7 +88,7 @@
                 self.check_wanted = true
             }
             Err(WorkerCallError::Refused) => {
-                self.incarnation_ended(now, IncarnationEnd::NothingListens)
+                self.end_incarnation(now, IncarnationEnd::NothingListens)
             }
             Err(err) if starting => {
                 info!(self.log, "start failed"; "run" => %run, "error" => %err);
@@ -147,7 +147,7 @@
             }
             Err(WorkerCallError::OtherIncarnation) => self.check_wanted = true,
             Err(WorkerCallError::Refused) => {
-                self.incarnation_ended(now, IncarnationEnd::NothingListens)
+                self.end_incarnation(now, IncarnationEnd::NothingListens)
             }
             Err(err) => {
                 debug!(self.log, "stop failed"; "run" => %run, "error" => %err);
@@ -254,21 +254,23 @@
         match answer {
             Ok(_) if by == Some(AnsweredBy::Another) => {
                 self.begin_carry_over(now, call.lease_until_ms.is_some());
-                self.incarnation_replaced(now);
+                self.end_replaced_incarnation(now);
             }
             Ok(reply) => {
                 self.suspected_losses.clear();
                 self.dismiss_successor(sent.mono_us);
                 self.apply_listing(now, sent, call, reply);
             }
-            Err(WorkerCallError::OtherIncarnation) => self.incarnation_replaced(now),
+            Err(WorkerCallError::OtherIncarnation) => self.end_replaced_incarnation(now),
             Err(WorkerCallError::Refused) => {
-                self.incarnation_ended(now, IncarnationEnd::NothingListens)
+                self.end_incarnation(now, IncarnationEnd::NothingListens)
             }
             Err(err) => warn!(self.log, "poll failed"; "error" => %err),
         }
     }
 
+    /// Handles an answer to a poll of the current incarnation, sent at `sent`: chooses a new
+    /// fencing token, or applies the listed ended and running runs.
     fn apply_listing(&mut self, now: Moment, sent: Moment, call: &PollCall, reply: PollReply) {
         let Some(incarnation) = &mut self.incarnation else {
             return;
@@ -294,7 +296,7 @@
         }
         self.unclaimed
             .retain(|run, _| reply.running.iter().any(|row| row.run == *run));
-        self.confirm_stops(now, sent, &reply.running);
+        self.end_stopped_runs(now, sent, &reply.running);
         self.mark_listed(&reply.running);
         self.update_pace(now, &reply.running);
     }
@@ -309,15 +311,17 @@
                 }
                 continue;
             }
-            // A run that this gate has already ended was started by a delayed call meant for a
-            // previous incarnation. It is stopped at once.
-            let over = self.ended_runs.contains_key(&row.run);
-            info!(self.log, "unclaimed run found"; "run" => %row.run, "ended" => over);
-            let claim = match over {
+            // If the run is listed although this gate has ended it, a delayed start meant for a
+            // previous incarnation of the worker has reached this one. Its entry must not claim
+            // it, so the claim window is zero and the next tick stops it.
+            let already_ended = self.ended_runs.contains_key(&row.run);
+            info!(self.log, "unclaimed run found"; "run" => %row.run, "ended" => already_ended);
+            let claim_window = match already_ended {
                 true => Duration::ZERO,
                 false => self.limits.claim_window,
             };
-            self.unclaimed.insert(row.run, now.mono_us + micros(claim));
+            self.unclaimed
+                .insert(row.run, now.mono_us + micros(claim_window));
         }
         self.stop_missing(now);
         self.load_changed = true;
@@ -377,10 +381,11 @@
         }
     }
 
-    /// Ends the runs that the list does not contain and whose stop was acknowledged before the
-    /// list was requested at `sent`.
-    fn confirm_stops(&mut self, now: Moment, sent: Moment, running: &[RunningRow]) {
-        let gone: Vec<(RunId, bool)> = self
+    /// Ends the stopped runs that are no longer on the worker. `running` are the runs listed in
+    /// the answer to a poll that was sent at `sent`. A missing run has ended if its stop was
+    /// acknowledged before `sent`.
+    fn end_stopped_runs(&mut self, now: Moment, sent: Moment, running: &[RunningRow]) {
+        let missing: Vec<(RunId, bool)> = self
             .runs
             .iter()
             .filter_map(|(run, record)| match record.state {
@@ -393,7 +398,7 @@
             })
             .filter(|(run, _)| running.iter().all(|row| row.run != *run))
             .collect();
-        for (run, began) in gone {
+        for (run, began) in missing {
             let end = match began {
                 true => RunEnd::Stopped,
                 false => RunEnd::NotRun(NotRunReason::Unanswered),
--- a/src/ephemeral/gate/forecast.rs
+++ b/src/ephemeral/gate/forecast.rs
@@ -8,6 +8,7 @@
 
 /// Forecast of free CPU.
 pub(super) struct Forecast {
+    /// CPU that is free now, in thousandths of a core.
     free_cpu_milli: u64,
     /// Remaining time in microseconds and CPU in thousandths of a core of each run, soonest
     /// end first.
@@ -15,14 +16,14 @@
 }
 
 impl Forecast {
-    /// Mean CPU of a run, in thousandths of a core.
+    /// Mean CPU of a dispatched run, in thousandths of a core.
     pub fn mean_cpu_milli(&self) -> u64 {
         let sum: u64 = self.ends.iter().map(|(_, cpu_milli)| cpu_milli).sum();
         sum / self.ends.len().max(1) as u64
     }
 
     /// Time until `wanted` thousandths of a core are free, in microseconds; 0 if they are free
-    /// now.
+    /// now or there is no dispatched run.
     pub fn wait_us(&self, wanted: u64) -> u64 {
         let mut free = self.free_cpu_milli;
         if free >= wanted {
--- a/src/ephemeral/gate/headroom.rs
+++ b/src/ephemeral/gate/headroom.rs
@@ -38,18 +38,20 @@
     due_us: f64,
     /// Mean expected run time, in microseconds.
     run_us: f64,
-    at_us: u64,
+    /// Time of the last order, in monotonic microseconds.
+    updated_us: u64,
 }
 
 impl Demand {
+    /// The count of orders, decayed until `now`.
     fn orders(&self, now: Moment) -> f64 {
-        let elapsed_us = now.mono_us.saturating_sub(self.at_us) as f64;
+        let elapsed_us = now.mono_us.saturating_sub(self.updated_us) as f64;
         self.orders * (-elapsed_us / micros(DEMAND_WINDOW) as f64).exp()
     }
 
     fn observe(&mut self, now: Moment, order: &StartOrder) {
         self.orders = self.orders(now) + 1.0;
-        self.at_us = now.mono_us;
+        self.updated_us = now.mono_us;
         let weight = 1.0 / self.orders;
         let means = [
             (&mut self.cpu_milli, order.needs.cpu_milli),
@@ -82,30 +84,30 @@
     pub run_us: u64,
 }
 
-/// Recent demand by priority.
+/// Estimates the required headroom from the recent start orders.
 #[derive(Debug, Default)]
-pub(super) struct Headroom {
-    demand: BTreeMap<Priority, Demand>,
+pub(super) struct HeadroomEstimator {
+    by_priority: BTreeMap<Priority, Demand>,
 }
 
-impl Headroom {
+impl HeadroomEstimator {
     /// Records an order.
     pub fn observe(&mut self, now: Moment, order: &StartOrder) {
-        let demand = self.demand.entry(order.priority).or_default();
+        let demand = self.by_priority.entry(order.priority).or_default();
         demand.observe(now, order);
     }
 
     /// Priorities with recent orders and those just below them, unsorted. The required headroom
     /// may change at each of these.
     pub fn priorities(&self, now: Moment) -> impl Iterator<Item = Priority> {
-        let active = self.demand.iter();
+        let active = self.by_priority.iter();
         let active = active.filter(move |(_, demand)| demand.is_active(now));
         active.flat_map(|(priority, _)| [*priority, Priority(priority.0.saturating_add(1))])
     }
 
     /// Mean run of a priority; one of unlimited run time if there were no orders.
     pub fn typical_run(&self, priority: Priority) -> Candidate {
-        let demand = self.demand.get(&priority);
+        let demand = self.by_priority.get(&priority);
         Candidate {
             priority,
             cpu_milli: demand.map_or(0, |demand| demand.cpu_milli as u64),
@@ -119,7 +121,7 @@
         if run.cpu_milli * MIN_RUNS > capacity {
             return 0;
         }
-        let more_urgent = self.demand.range(..run.priority);
+        let more_urgent = self.by_priority.range(..run.priority);
         let delayed = more_urgent
             .map(|(_, demand)| demand)
             .filter(|demand| run.run_us as f64 >= demand.due_us * MIN_RUN_TIME_FACTOR)
--- a/src/ephemeral/gate/health.rs
+++ b/src/ephemeral/gate/health.rs
@@ -33,7 +33,10 @@
 /// Statistics of recent runs.
 #[derive(Debug)]
 pub(super) struct Health {
+    /// Whether each recent run was done, as opposed to failed, stalled or ended because its
+    /// lease expired; newest last.
     outcomes: VecDeque<bool>,
+    /// Moving average of the run times, in microseconds; 0 before the first run.
     mean_run_us: f64,
     /// Long-term ratio of actual to expected run time.
     baseline: f64,
@@ -41,8 +44,11 @@
     recent: f64,
     /// Ratio estimated from the progress of current runs.
     pace: f64,
+    /// Number of runs in `baseline`.
     measured_runs: u32,
+    /// Time of the last finished run or sample of the pace, in monotonic microseconds.
     last_sample_us: u64,
+    /// The same ratios by median.
     speed: Speed,
     /// Whether ratios are aggregated by median instead of mean.
     by_median: bool,
--- a/src/ephemeral/gate/incarnation.rs
+++ b/src/ephemeral/gate/incarnation.rs
@@ -48,10 +48,14 @@
     fence_rejections: u32,
     /// Whether its runs were listed under the current fencing token.
     pub listed: bool,
+    /// Lower bound of the worker's clock at `clock_at_us`, in milliseconds.
     clock_ms: f64,
+    /// Time of the last update of `clock_ms`, in monotonic microseconds.
     clock_at_us: u64,
+    /// Time at which the last lease was granted, in monotonic microseconds.
     lease_sent_us: u64,
-    /// Time until which it may hold a lease meant for the previous incarnation.
+    /// Time until which it may hold a lease meant for the previous incarnation, in monotonic
+    /// microseconds; 0 if there is none.
     inherited_lease_us: u64,
 }
 
--- a/src/ephemeral/gate/losses.rs
+++ b/src/ephemeral/gate/losses.rs
@@ -26,7 +26,7 @@
 /// A run that was on a lost worker.
 #[derive(Debug)]
 pub(super) struct LostRun {
-    /// Time since its start; `u64::MAX` if unknown.
+    /// Estimated time from its start to the loss, in microseconds; `u64::MAX` if unknown.
     age_us: u64,
     /// Its entry, if known.
     owner: Option<ProcessId>,
@@ -122,15 +122,15 @@
     }
 
     fn lost_runs(&self, now: Moment, worker: &WorkerId) -> Vec<LostRun> {
-        let dispatched = || {
+        let maybe_begun = || {
             self.runs
                 .iter()
                 .filter(|(_, record)| record.may_have_begun())
         };
-        let begun = dispatched().filter(|(_, record)| record.has_begun());
+        let begun = maybe_begun().filter(|(_, record)| record.has_begun());
         let ages_us = begun.map(|(_, record)| self.age_at_loss_us(now, record));
         let youngest_us = ages_us.min().unwrap_or(0);
-        let owned = dispatched().map(|(run, record)| {
+        let owned = maybe_begun().map(|(run, record)| {
             let age_us = self.age_at_loss_us(now, record);
             // The age of a run that a previous gate started is unknown.
             let by_this_incarnation = record.listed || !self.has_restarted(worker);
@@ -165,10 +165,11 @@
         lost_us.saturating_sub(run.queued_or_started_us)
     }
 
-    /// Time by which the worker was lost, in monotonic microseconds: when a poll was
-    /// disconnected, or when an answer was due before several calls went unanswered. A single
+    /// Upper bound of the time at which the worker was lost, in monotonic microseconds. This is
+    /// the time at which a poll was disconnected, or at which an answer was due if several
+    /// calls have gone unanswered, whichever is earlier; `now` if there is neither. A single
     /// call may be lost while the worker is alive.
-    fn lost_by_us(&self, now: Moment) -> u64 {
+    fn latest_loss_us(&self, now: Moment) -> u64 {
         let silent = self.missed_answers >= UNRESPONSIVE_MISSES;
         let silent_us = silent.then_some(self.answered_us + micros(BUSY_POLL_WAIT));
         let disconnected_us = self.poll_disconnected_us.into_iter();
@@ -180,7 +181,7 @@
 
     /// Whether a run that had begun was certainly unfinished when the worker was lost.
     fn was_running_at_loss(&self, now: Moment, run: &Run) -> bool {
-        let lost_us = self.lost_by_us(now);
+        let lost_us = self.latest_loss_us(now);
         let stopped = match run.state {
             // The stop may have taken effect without an acknowledgement.
             RunState::Stopping { since_us, .. } => since_us < lost_us,
@@ -199,8 +200,8 @@
         let sent_from = lost.len().saturating_sub(MAX_STORED_LOSSES);
         let entries: Vec<ProcessId> = self.entries.keys().cloned().collect();
         for entry in entries {
-            let of_interest = |(at, lost): &(usize, &LostRun)| {
-                *at >= sent_from || lost.owner.as_ref() == Some(&entry)
+            let of_interest = |(index, lost): &(usize, &LostRun)| {
+                *index >= sent_from || lost.owner.as_ref() == Some(&entry)
             };
             let losses = lost.iter().enumerate().filter(of_interest);
             let losses: Vec<WorkerLoss> = losses.map(|(_, lost)| lost.loss.clone()).collect();
--- a/src/ephemeral/gate/mod.rs
+++ b/src/ephemeral/gate/mod.rs
@@ -45,7 +45,7 @@
 use crate::ephemeral::worker_id::WorkerId;
 use crate::time::{Moment, micros};
 use evacuation::Evacuation;
-use headroom::Headroom;
+use headroom::HeadroomEstimator;
 use health::Health;
 use incarnation::Incarnation;
 use losses::LostRun;
@@ -136,7 +136,9 @@
     owner: ProcessId,
     needs: Resources,
     payload: Arc<str>,
+    /// Run time that the entry expects on a worker of normal speed, in microseconds.
     expected_us: u64,
+    /// Whether it may be stopped for being slow and moved to another gate.
     movable: bool,
     /// Whether the worker of an earlier run of its task was lost.
     implicated: bool,
@@ -183,7 +185,10 @@
 struct EndedRun {
     owner: ProcessId,
     end: RunEnd,
+    /// Time to its end since the last attempt to start it or since its claim, in microseconds;
+    /// 0 if it was not run.
     run_us: u64,
+    /// Time at which this gate ended it, in monotonic microseconds.
     at_us: u64,
 }
 
@@ -213,7 +218,7 @@
     /// Starts that were unanswered when the last worker was lost.
     unanswered_starts: HashMap<RunId, WorkerLoss>,
     room: Room,
-    headroom: Headroom,
+    headroom: HeadroomEstimator,
     patience_counts: PatienceCounts,
     health: Health,
     answer_times: AnswerTimes,
@@ -221,10 +226,12 @@
     sessions: HashMap<SessionId, ProcessId>,
     runs: BTreeMap<RunId, Run>,
     queue: BTreeSet<QueuePosition>,
+    /// Runs that ended recently; see [`ENDED_RUN_RETENTION`].
     ended_runs: HashMap<RunId, EndedRun>,
+    /// End times of these runs, in monotonic microseconds, oldest first.
     ended_order: VecDeque<(u64, RunId)>,
-    /// Runs of a previous gate that no entry has claimed, and the time at which each is to be
-    /// stopped.
+    /// Listed runs that are not in `runs` and that no entry has claimed, and the time at which
+    /// each is to be stopped, in monotonic microseconds.
     unclaimed: BTreeMap<RunId, u64>,
     /// Whether the regular poll is in flight.
     poll_pending: bool,
@@ -242,9 +249,13 @@
     poll_failed_us: Option<u64>,
     /// Time of the first poll since the last answer that failed before its timeout.
     poll_disconnected_us: Option<u64>,
+    /// Whether this gate refuses new runs because it is shutting down.
     leaving: bool,
     evacuation: Evacuation,
+    /// Whether the load has changed since the entries' reports were last marked as outdated.
     load_changed: bool,
+    /// Time of the last load report that was sent without another reason than a changed load,
+    /// in monotonic microseconds.
     load_sent_us: u64,
     actions: Vec<GateAction>,
 }
@@ -266,7 +277,7 @@
             suspected_losses: Vec::new(),
             unanswered_starts: HashMap::new(),
             room: Room::default(),
-            headroom: Headroom::default(),
+            headroom: HeadroomEstimator::default(),
             patience_counts: PatienceCounts::default(),
             health: Health::default(),
             answer_times: AnswerTimes::default(),
--- a/src/ephemeral/gate/pace.rs
+++ b/src/ephemeral/gate/pace.rs
@@ -37,11 +37,13 @@
 /// Progress of a run at the last sample.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ProgressSample {
+    /// Time of the sample, in monotonic microseconds.
     at_us: u64,
+    /// Completed part of the run, in percent.
     percent: u32,
-    /// Time of the last progress.
+    /// Time of the last sample that showed progress, in monotonic microseconds.
     last_progress_us: u64,
-    /// Ratio of elapsed time to expected work between the last two samples.
+    /// Ratio of elapsed time to expected work between the last two samples; 0 before the second.
     slowness: f64,
 }
 
@@ -59,8 +61,12 @@
 /// Pace of the worker, from the progress in one answer to a poll.
 #[derive(Default)]
 struct Pace {
+    /// Number of sampled runs.
     runs: usize,
+    /// Sum of the times between the last two samples of each run, in microseconds.
     wall_us: f64,
+    /// Sum of the run time that this progress takes on a worker of normal speed, in
+    /// microseconds.
     work_us: f64,
     /// Slowness of the fastest run.
     min_slowness: f64,
--- a/src/ephemeral/gate/restart.rs
+++ b/src/ephemeral/gate/restart.rs
@@ -31,9 +31,11 @@
 /// State kept between two incarnations of a worker.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct CarryOver {
-    /// Time at which the runs are ended if no incarnation has reported.
+    /// Time at which the runs are ended if no incarnation has reported, in monotonic
+    /// microseconds.
     until_us: u64,
-    /// Time until which the next incarnation may hold a lease meant for the previous one.
+    /// Time until which the next incarnation may hold a lease meant for the previous one, in
+    /// monotonic microseconds; 0 if there is none.
     inherited_lease_us: u64,
 }
 
--- a/src/ephemeral/gate/sessions.rs
+++ b/src/ephemeral/gate/sessions.rs
@@ -22,17 +22,20 @@
 /// An entry that has connected to this gate.
 #[derive(Debug)]
 pub(super) struct EntryState {
+    /// Its open session.
     pub(super) session: Option<SessionId>,
+    /// Arrival time of its last frame, in monotonic microseconds.
     pub(super) last_seen_us: u64,
     /// Configuration version that the entry has.
     pub(super) config: u64,
     /// Number of the last start order received in this session.
     seen: u64,
-    /// Arrival time of the first start that no load report has confirmed.
+    /// Arrival time of the first start that no load report has confirmed, in monotonic
+    /// microseconds.
     unconfirmed_us: Option<u64>,
-    /// Time at which the entry last had runs here.
+    /// Time at which the entry last had runs here, in monotonic microseconds.
     last_busy_us: u64,
-    /// Time of the last load report.
+    /// Time of the last load report to it, in monotonic microseconds.
     load_sent_us: u64,
     /// Whether the load has changed since the last report.
     stale: bool,
--- a/src/ephemeral/gate/speed.rs
+++ b/src/ephemeral/gate/speed.rs
@@ -19,9 +19,13 @@
 /// Ratios of actual to expected run time of recent runs.
 #[derive(Debug)]
 pub(super) struct Speed {
+    /// The samples, oldest first.
     ratios: VecDeque<f64>,
+    /// Median of all samples; 1 if there are too few.
     baseline: f64,
+    /// Median of the newest samples; the baseline if there are too few.
     recent: f64,
+    /// Time at which a sample was last added or dropped, in monotonic microseconds.
     last_sample_us: u64,
 }
 
--- a/src/ephemeral/gate/worker_incarnations.rs
+++ b/src/ephemeral/gate/worker_incarnations.rs
@@ -33,7 +33,8 @@
 #[derive(Debug)]
 pub(super) struct Successor {
     report: WorkerReport,
-    at_us: u64,
+    /// Arrival time of the report, in monotonic microseconds.
+    reported_us: u64,
 }
 
 /// How the gate learned that an incarnation ended.
@@ -122,7 +123,7 @@
             "leaving" => report.leaving);
         self.successor = Some(Successor {
             report: report.clone(),
-            at_us: now.mono_us,
+            reported_us: now.mono_us,
         });
         self.check_wanted = true;
         // Send the check at once, without the remaining retry delay.
@@ -144,7 +145,7 @@
             .incarnation
             .as_ref()
             .is_some_and(|incarnation| !incarnation.leaving);
-        let old = |successor: &Successor| stays && successor.at_us <= asked_us;
+        let old = |successor: &Successor| stays && successor.reported_us <= asked_us;
         if let Some(successor) = self.successor.take_if(|successor| old(successor)) {
             info!(self.log, "dropped report of past incarnation"; "worker" => %successor.report.id);
         }
@@ -170,7 +171,7 @@
             if self.is_restart() {
                 self.begin_carry_over(now, true);
             }
-            self.incarnation_ended(now, IncarnationEnd::Unresponsive);
+            self.end_incarnation(now, IncarnationEnd::Unresponsive);
         }
     }
 
@@ -192,13 +193,14 @@
         self.past_incarnations.push_back(id.clone());
     }
 
-    /// Ends the current incarnation after another one has answered for it.
-    pub(super) fn incarnation_replaced(&mut self, now: Moment) {
+    /// Ends the current incarnation after another one has answered a call that was addressed
+    /// to it, and ignores further reports of the ended one.
+    pub(super) fn end_replaced_incarnation(&mut self, now: Moment) {
         if let Some(incarnation) = &self.incarnation {
             let id = incarnation.traits.id.clone();
             self.mark_past(&id);
         }
-        self.incarnation_ended(now, IncarnationEnd::AnotherIncarnation);
+        self.end_incarnation(now, IncarnationEnd::AnotherIncarnation);
     }
 
     /// Adopts the worker recorded by a previous gate on this machine, unless one is known.
@@ -238,12 +240,12 @@
         }
         self.mark_past(id);
         if self.is_current(id) {
-            self.incarnation_ended(now, IncarnationEnd::Left);
+            self.end_incarnation(now, IncarnationEnd::Left);
         }
     }
 
     /// Ends the current incarnation, and ends or carries over its runs.
-    pub(super) fn incarnation_ended(&mut self, now: Moment, end: IncarnationEnd) {
+    pub(super) fn end_incarnation(&mut self, now: Moment, end: IncarnationEnd) {
         let Some(incarnation) = self.incarnation.take() else {
             return;
         };
--- a/src/ephemeral/message.rs
+++ b/src/ephemeral/message.rs
@@ -175,8 +175,9 @@
     pub payload: Arc<str>,
     /// Resources that it holds while it runs.
     pub needs: Resources,
-    /// Longest wait for capacity, in microseconds, before the run is refused; 0 refuses at
-    /// once.
+    /// Longest wait for capacity, in microseconds, before the run is refused. With 0 it is
+    /// refused unless it can start at once. If the run leaves headroom, the gate may shorten
+    /// the wait, or queue the run in spite of 0, by its forecast.
     pub patience_us: u64,
     /// Priority in the queue.
     pub priority: Priority,
@@ -184,8 +185,8 @@
     pub leaves_headroom: bool,
     /// Whether worker speed is judged by the median of these runs instead of their mean.
     pub by_median: bool,
-    /// Time within which the run must begin to meet its objective, in microseconds. The queue
-    /// orders runs of the same priority by this deadline.
+    /// Time from the arrival of the order within which the run must begin to meet its
+    /// objective, in microseconds. The queue orders runs of the same priority by the end of it.
     pub due_us: u64,
     /// Run time that the entry expects on a worker of normal speed, in microseconds.
     pub expected_us: u64,
