--- a/src/ephemeral/gate/answers.rs
+++ b/src/ephemeral/gate/answers.rs
@@ -312,8 +312,8 @@
                 continue;
             }
             // If the run is listed although this gate has ended it, a delayed start meant for a
-            // previous incarnation of the worker has reached this one. Its entry must not claim
-            // it, so the claim window is zero and the next tick stops it.
+            // previous incarnation of the worker has reached this one. Its entry can no
+            // longer claim it, so the claim window is zero and the next tick stops it.
             let already_ended = self.ended_runs.contains_key(&row.run);
             info!(self.log, "unclaimed run found"; "run" => %row.run, "ended" => already_ended);
             let claim_window = match already_ended {
--- a/src/ephemeral/gate/mod.rs
+++ b/src/ephemeral/gate/mod.rs
@@ -226,7 +226,7 @@
     sessions: HashMap<SessionId, ProcessId>,
     runs: BTreeMap<RunId, Run>,
     queue: BTreeSet<QueuePosition>,
-    /// Runs that ended recently; see [`ENDED_RUN_RETENTION`].
+    /// Runs that ended within [`ENDED_RUN_RETENTION`], except those that never reached the worker.
     ended_runs: HashMap<RunId, EndedRun>,
     /// End times of these runs, in monotonic microseconds, oldest first.
     ended_order: VecDeque<(u64, RunId)>,
@@ -243,13 +243,15 @@
     missed_answers: u32,
     /// Consecutive polls without an answer.
     missed_polls: u32,
-    /// Time of the last answer.
+    /// Time of the last answer, or of the adoption of the incarnation, in monotonic
+    /// microseconds.
     answered_us: u64,
-    /// Time of the first failed poll since the last answer.
+    /// Time of the first failed poll since the last answer, in monotonic microseconds.
     poll_failed_us: Option<u64>,
-    /// Time of the first poll since the last answer that failed before its timeout.
+    /// Time at which a poll first failed before its timeout since the last answer, in monotonic
+    /// microseconds.
     poll_disconnected_us: Option<u64>,
-    /// Whether this gate refuses new runs because it is shutting down.
+    /// Whether this gate refuses new runs, as set by [`Gate::leave`].
     leaving: bool,
     evacuation: Evacuation,
     /// Whether the load has changed since the entries' reports were last marked as outdated.
