--- a/src/ephemeral/directory/follow.rs
+++ b/src/ephemeral/directory/follow.rs
@@ -110,6 +110,7 @@
 /// Records read before the full read.
 struct InitialRecords {
     gates: GateChanges,
+    /// Number of shards read.
     shards: usize,
 }
 
--- a/src/ephemeral/job.rs
+++ b/src/ephemeral/job.rs
@@ -58,7 +58,7 @@
 pub struct Resources {
     /// Processor time, in thousandths of a core.
     pub cpu_milli: u64,
-    /// Memory in MiB.
+    /// Memory in MB, as jobs and workers give it.
     pub memory_mb: u64,
     /// Number of accelerators.
     pub accelerators: u64,
--- a/src/message.rs
+++ b/src/message.rs
@@ -334,9 +334,10 @@
     pub range: RangeId,
     /// Epoch of the leaving owner.
     pub epoch: Epoch,
-    /// An unlisted id with a later timestamp was never used.
+    /// Wall-clock time; no owner accepted an unlisted id with a later timestamp.
     pub horizon_ms: u64,
-    /// An unlisted id with a later timestamp was never started at a gate.
+    /// Wall-clock time; no gate started an unlisted id with a later timestamp. `u64::MAX` if
+    /// not all gates answered in a recovery.
     pub proof_floor_ms: u64,
     /// All known submissions.
     pub entries: Vec<HandoverEntry>,
--- a/src/node.rs
+++ b/src/node.rs
@@ -253,7 +253,7 @@
     /// Applies a peer's snapshot.
     pub fn apply_snapshot(&mut self, snapshot: Snapshot) -> FleetChanges {
         let changes = self.fleet.apply_snapshot(snapshot);
-        self.record_changes(changes);
+        self.log_and_publish_changes(changes);
         changes
     }
 
@@ -280,11 +280,12 @@
             }
         }
         changes.members = self.fleet.apply_members(revision, members);
-        self.record_changes(changes);
+        self.log_and_publish_changes(changes);
         changes
     }
 
-    fn record_changes(&self, changes: FleetChanges) {
+    /// Logs the changes, and publishes the configuration revision in the message counters.
+    fn log_and_publish_changes(&self, changes: FleetChanges) {
         if changes.config {
             let revision = self.fleet.config_revision();
             self.message_counters
--- a/src/owner/ranges.rs
+++ b/src/owner/ranges.rs
@@ -1,10 +1,13 @@
 //! Acquisition, recovery, handover and loss of key ranges.
 //!
-//! After a crash, the new owner waits until every id that the old owner may have
-//! accepted has a timestamp in the past. It then asks every gate which tasks of the range
-//! it started. A gate that has answered refuses starts of older epochs. When all gates
-//! have answered, an id that none of them reported has never started. If a gate is gone,
-//! the outcome of ids older than its departure stays unknown.
+//! A new owner that has no matching handover, as after a crash, takes the range over. It
+//! first waits until every id that the old owner may have accepted lies in the past. It then
+//! asks every gate which tasks of the range it started. A gate that has answered refuses
+//! starts of older epochs.
+//!
+//! When all gates have answered, an unreported id is new if it is later than the departure
+//! time in the table. If recovery times out or a gate leaves before it has answered, no
+//! unreported id up to the end of recovery is proven new.
 
 use std::collections::{BTreeMap, HashSet};
 use std::time::Duration;
@@ -29,20 +32,28 @@
     /// Epoch of the range in the table.
     pub epoch: Epoch,
     phase: Phase,
-    /// No previous owner accepted an id later than this wall-clock time.
+    /// Wall-clock time; no previous owner accepted an id without a record and a later
+    /// timestamp. `u64::MAX` during a takeover.
     horizon_ms: u64,
-    /// An id later than this wall-clock time has never started unless it has a record.
+    /// Wall-clock time; no gate started an id without a record and a later timestamp. Holds
+    /// only once a takeover has ended; `u64::MAX` if not all gates answered.
     proof_floor_ms: u64,
 }
 
 #[derive(Clone, Debug)]
 enum Phase {
     /// Waits until all ids that the old owner may have accepted lie in the past.
-    Waiting { until_us: u64 },
+    Waiting {
+        /// Monotonic time at which recovery starts.
+        until_us: u64,
+    },
     /// Asks the gates which tasks they started.
     Recovering {
+        /// Gates that have not answered.
         unanswered: HashSet<MemberId>,
+        /// Monotonic time of the next requests; 0 for at once.
         next_request_us: u64,
+        /// Monotonic time at which recovery ends without the missing answers.
         until_us: u64,
     },
     /// Serves submissions.
@@ -67,7 +78,9 @@
         matches!(self.phase, Phase::Frozen)
     }
 
-    /// Whether an unknown id with this timestamp has certainly never started.
+    /// Whether an active range's id with this timestamp and without a record has certainly
+    /// never started. Either bound suffices: an id that no previous owner accepted, or that
+    /// no gate started.
     pub fn is_provably_new(&self, time_ms: u64) -> bool {
         time_ms > self.horizon_ms || time_ms > self.proof_floor_ms
     }
@@ -84,7 +97,8 @@
 }
 
 impl Owner {
-    /// Acquires and drops ranges to match the table; `holder` is the local lease.
+    /// Acquires and drops ranges to match the table. `holder` is this process with its
+    /// session, if its lease is registered.
     pub fn reconcile(
         &mut self,
         now: Moment,
@@ -96,6 +110,7 @@
             return actions;
         };
         let rows = (0u32..).zip(&fleet.table().rows);
+        // Ranges of an older session are acquired only after the table names the new one.
         for (index, row) in rows.filter(|(_, row)| row.owner == *holder) {
             let range = RangeId(index);
             let held_epoch = self.ranges.get(&range).map(|held| held.epoch);
@@ -106,7 +121,8 @@
         actions
     }
 
-    /// Drops ranges that the table assigns to another process.
+    /// Drops ranges that the table assigns to another process. A range of an older session of
+    /// this process is kept, as it may be resumed.
     fn drop_lost_ranges(&mut self, fleet: &Fleet, holder: Option<&Holder>) -> OwnerActions {
         let table = fleet.table();
         let member = holder.map_or(&self.id, |holder| &holder.member);
@@ -139,6 +155,7 @@
             return Vec::new();
         };
         self.deadlines.remove(&(record.deadline_us, id));
+        // The tasks of an open submission, ended ones included.
         for (index, state) in (0u32..).zip(record.open_tasks()) {
             self.backlog.remove(TaskId {
                 submission: id,
@@ -173,6 +190,7 @@
         let handover = self.received_handovers.remove(&range);
         match row.acquisition {
             Acquisition::First => self.insert_active(range, row.epoch, 0, 0),
+            // Without the state of the preceding epoch, a resumed range is taken over.
             Acquisition::Resumed if previous_epoch.map(Epoch::next) == Some(row.epoch) => {
                 self.resume_range(now, range, row.epoch)
             }
@@ -180,6 +198,7 @@
                 Some(handover) if handover.epoch.next() == row.epoch => {
                     self.apply_handover(now, range, row.epoch, handover)
                 }
+                // The handover is missing or of another epoch.
                 _ => self.take_over(now, range, row),
             },
             _ => self.take_over(now, range, row),
@@ -208,7 +227,7 @@
     }
 
     /// Continues a range under its next epoch and resends its starts, as gates that
-    /// already have the new table refuse starts of the old epoch.
+    /// already have the new table refuse starts of the old epoch. The phase is unchanged.
     fn resume_range(&mut self, now: Moment, range: RangeId, epoch: Epoch) -> OwnerActions {
         if let Some(held) = self.ranges.get_mut(&range) {
             held.epoch = epoch;
@@ -235,6 +254,7 @@
         actions
     }
 
+    /// Drops the range's submissions and starts the wait before recovery.
     fn take_over(&mut self, now: Moment, range: RangeId, row: &Row) -> OwnerActions {
         let mut actions = Vec::new();
         for id in self.submissions_in(range) {
@@ -355,6 +375,7 @@
         let Phase::Recovering { unanswered, .. } = &mut held.phase else {
             return Vec::new();
         };
+        // A repeated answer does not end recovery.
         let complete = unanswered.remove(from) && unanswered.is_empty();
         for started in tasks {
             self.add_recovered_task(now, range, from, started);
@@ -378,6 +399,7 @@
             .submissions
             .entry(id)
             .or_insert_with(|| SubmissionRecord {
+                // No time budget: the deadline is not known.
                 submission: Submission::id_only(id, 0),
                 range,
                 progress: Progress::Recovered {
@@ -402,7 +424,8 @@
         tasks.insert(index, task);
     }
 
-    /// Stops serving a range and sends its state to the successor.
+    /// Stops serving a range and sends its state to the successor. A frozen range is sent
+    /// again.
     pub fn freeze(&mut self, now: Moment, range: RangeId, to: &MemberId) -> OwnerActions {
         let Some(held) = self.ranges.get_mut(&range) else {
             return Vec::new();
@@ -440,8 +463,8 @@
     ) -> OwnerActions {
         let (horizon_ms, floor_ms) = (handover.horizon_ms, handover.proof_floor_ms);
         let mut actions = self.insert_active(range, epoch, horizon_ms, floor_ms);
-        for entry in handover.entries {
-            actions.extend(self.restore_submission(now, range, entry));
+        for inherited in handover.entries {
+            actions.extend(self.restore_submission(now, range, inherited));
         }
         actions
     }
@@ -450,14 +473,14 @@
         &mut self,
         now: Moment,
         range: RangeId,
-        entry: HandoverEntry,
+        inherited: HandoverEntry,
     ) -> OwnerActions {
-        let id = entry.submission.id;
-        if entry.answer.is_some() || !entry.recovered.is_empty() {
-            self.restore_inactive(now, range, entry);
+        let id = inherited.submission.id;
+        if inherited.answer.is_some() || !inherited.recovered.is_empty() {
+            self.restore_ended_or_recovered(now, range, inherited);
             return Vec::new();
         }
-        let tasks: Vec<TaskState> = entry
+        let tasks: Vec<TaskState> = inherited
             .tasks
             .iter()
             .map(|task| task_state(now, task))
@@ -474,9 +497,9 @@
                 ))
             })
             .collect();
-        self.open(now, &entry.waiters, entry.submission, tasks);
+        self.open(now, &inherited.waiters, inherited.submission, tasks);
         if let Some(record) = self.submissions.get_mut(&id) {
-            record.calls = entry.calls;
+            record.calls = inherited.calls;
             record.record_step(Step::Inherited);
         }
         for (gate, _) in &sent {
@@ -490,26 +513,33 @@
         actions
     }
 
-    /// Restores a submission that has no open tasks: it has an answer, or only tasks
-    /// that a previous owner started.
-    fn restore_inactive(&mut self, now: Moment, range: RangeId, entry: HandoverEntry) {
-        let id = entry.submission.id;
-        let by_index = entry.recovered.into_iter().map(|task| (task.index, task));
-        let progress = match entry.answer {
+    /// Restores a submission that is not open: it has an answer, or it is recovered.
+    fn restore_ended_or_recovered(
+        &mut self,
+        now: Moment,
+        range: RangeId,
+        inherited: HandoverEntry,
+    ) {
+        let id = inherited.submission.id;
+        let by_index = inherited
+            .recovered
+            .into_iter()
+            .map(|task| (task.index, task));
+        let progress = match inherited.answer {
             Some(answer) => Progress::Ended {
                 answer,
-                next_attempt: entry.next_attempt,
+                next_attempt: inherited.next_attempt,
             },
             None => Progress::Recovered {
                 tasks: by_index.collect(),
             },
         };
         let record = SubmissionRecord {
-            submission: entry.submission,
+            submission: inherited.submission,
             range,
             progress,
             waiters: Vec::new(),
-            calls: entry.calls,
+            calls: inherited.calls,
             deadline_us: 0,
             accepted_ms: now.wall_ms,
             steps: vec![Step::Inherited],
--- a/src/ownership/handover.rs
+++ b/src/ownership/handover.rs
@@ -17,9 +17,13 @@
 /// A handover in progress.
 #[derive(Clone, Debug)]
 pub(super) struct PendingHandover {
+    /// Successor.
     pub(super) to: MemberId,
+    /// Epoch of the row before the move.
     pub(super) epoch: Epoch,
+    /// Monotonic time of the last send; 0 if not sent to this successor.
     sent_us: u64,
+    /// Whether the successor has received the state.
     pub(super) confirmed: bool,
 }
 
--- a/src/ownership/mod.rs
+++ b/src/ownership/mod.rs
@@ -80,6 +80,7 @@
 #[derive(Clone, Copy, Debug)]
 struct Call {
     op: StoreOp,
+    /// Monotonic time at which the call was made.
     sent_us: u64,
 }
 
@@ -88,17 +89,27 @@
 pub struct Ownership {
     record: MemberRecord,
     lease: Lease,
+    /// Monotonic end of the lease.
     lease_until_us: u64,
-    /// Time of the next renewal; a leaving member rewrites its record first if it is 0.
+    /// Monotonic time of the next renewal; a leaving member rewrites its record first if it is 0.
     renew_us: u64,
+    /// Monotonic time before which no lease call is made.
     lease_retry_us: u64,
+    /// Unanswered lease call.
     lease_call: Option<Call>,
+    /// Unanswered table call.
     table_call: Option<Call>,
+    /// Monotonic time before which no table call is made.
     table_retry_us: u64,
+    /// Whether the table must be read before the next write.
     table_needs_read: bool,
+    /// Table of the unanswered write.
     pending_table: Option<Table>,
+    /// Monotonic time of the first full read of the store.
     synced_us: Option<u64>,
+    /// Monotonic time of the last failed store call.
     store_failure_us: Option<u64>,
+    /// Monotonic time since which a table change is due.
     change_pending_since_us: Option<u64>,
     handovers: BTreeMap<RangeId, PendingHandover>,
     release_requested: bool,
--- a/src/store.rs
+++ b/src/store.rs
@@ -31,8 +31,10 @@
         /// The prefix.
         prefix: String,
     },
-    /// Waits until a key with the prefix changes after a revision. Returns the changes, or
-    /// all entries if the store does not support changes or has compacted them.
+    /// Waits until a key with the prefix changes after a revision. Returns
+    /// [`StoreReply::Changes`], empty if there is none within `wait_ms`. A store that reports
+    /// no single changes, or no longer has those after the revision, returns all current
+    /// [`StoreReply::Entries`] instead.
     Watch {
         /// The prefix.
         prefix: String,
