--- a/src/owner/admission.rs
+++ b/src/owner/admission.rs
@@ -24,7 +24,9 @@
 /// A submission that waits until its range is active.
 #[derive(Clone, Debug)]
 pub(super) struct DeferredSubmission {
+    /// Entry that sent it.
     from: MemberId,
+    /// Monotonic time of receipt.
     received_us: u64,
     submission: Submission,
 }
@@ -65,7 +67,7 @@
         match self.submissions.get(&id).map(|record| &record.progress) {
             Some(Progress::Open { .. }) => self.join(from, &submission),
             Some(Progress::Ended { .. }) => self.join_or_reopen(now, fleet, from, submission),
-            Some(Progress::Recovered { .. }) => self.resume(now, fleet, from, submission),
+            Some(Progress::Recovered { .. }) => self.reopen_recovered(now, fleet, from, submission),
             None => self.admit_unknown(now, fleet, from, submission),
         }
     }
@@ -407,7 +409,7 @@
     }
 
     /// Reopens a recovered submission that its caller sends again.
-    fn resume(
+    fn reopen_recovered(
         &mut self,
         now: Moment,
         fleet: &Fleet,
@@ -482,6 +484,7 @@
             _ => Effect::Unknown,
         };
         let answer = Answer::failure(ResultCode::Cancelled, effect, "cancelled");
+        // Without a time budget: the record is ended at once.
         let submission = Submission::id_only(id, 0);
         self.open(now, std::slice::from_ref(from), submission, Vec::new());
         self.end(now, id, answer)
--- a/src/owner/dispatch.rs
+++ b/src/owner/dispatch.rs
@@ -22,10 +22,14 @@
 /// Maximum number of queued tasks that one pass considers.
 const MAX_CANDIDATES: usize = 512;
 
+/// Position in the dispatch order.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct QueueKey {
+    /// Lower values go first.
     priority: u8,
+    /// Fairness round of the team; 0 without a team.
     round: usize,
+    /// Monotonic deadline of the submission.
     deadline_us: u64,
     task: TaskId,
 }
@@ -43,7 +47,9 @@
     order: BTreeSet<QueueKey>,
     /// All waiting tasks, including delayed ones.
     queued: HashMap<TaskId, QueuedTask>,
+    /// Monotonic times at which delayed tasks return to `order`, in microseconds.
     delayed_until: BTreeSet<(u64, TaskId)>,
+    /// Number of waiting tasks of each team.
     teams: HashMap<Arc<str>, usize>,
 }
 
--- a/src/owner/mod.rs
+++ b/src/owner/mod.rs
@@ -63,8 +63,11 @@
 pub struct Owner {
     id: MemberId,
     config: Arc<Config>,
+    /// Monotonic end of the store lease.
     lease_until_us: u64,
+    /// Whether the local wall clock differs too much from the peers' clocks.
     clock_skewed: bool,
+    /// Ranges that are held or being acquired.
     ranges: HashMap<RangeId, HeldRange>,
     /// Ranges that this process has ever served.
     served: HashSet<RangeId>,
@@ -72,14 +75,18 @@
     deferred: HashMap<RangeId, Vec<DeferredSubmission>>,
     /// State received from previous owners, until the table assigns the range.
     received_handovers: HashMap<RangeId, crate::message::Handover>,
+    /// All retained submissions, open or not.
     submissions: HashMap<SubmissionId, SubmissionRecord>,
     /// Monotonic deadlines of the open submissions, in microseconds.
     deadlines: BTreeSet<(u64, SubmissionId)>,
     /// Wall-clock times at which records are removed, in milliseconds.
     expiries: BTreeSet<(u64, SubmissionId)>,
+    /// Waiting tasks.
     backlog: Backlog,
     placer: Placer,
+    /// Budget for retries of refused and lost tasks.
     retries: RetryBudget,
+    /// Measured run times by service and kind.
     run_times: RunTimes,
     rng: StdRng,
 }
--- a/src/owner/ranges.rs
+++ b/src/owner/ranges.rs
@@ -155,7 +155,6 @@
             return Vec::new();
         };
         self.deadlines.remove(&(record.deadline_us, id));
-        // The tasks of an open submission, ended ones included.
         for (index, state) in (0u32..).zip(record.open_tasks()) {
             self.backlog.remove(TaskId {
                 submission: id,
--- a/src/owner/submission.rs
+++ b/src/owner/submission.rs
@@ -23,9 +23,9 @@
     /// Numbers of the calls that submitted it. A delayed duplicate of a call that was
     /// answered "not run" must not run.
     pub calls: Vec<u64>,
-    /// Deadline on the owner's monotonic clock.
+    /// Deadline on the owner's monotonic clock; 0 if it was never open here.
     pub deadline_us: u64,
-    /// Wall-clock time of acceptance.
+    /// Wall-clock time at which this owner made the record, in milliseconds.
     pub accepted_ms: u64,
     /// Recorded steps, oldest first.
     pub steps: Vec<Step>,
@@ -184,7 +184,7 @@
         }
     }
 
-    /// Tasks of an open submission; empty otherwise.
+    /// Tasks of an open submission, ended ones included; empty if it is not open.
     pub fn open_tasks(&self) -> &[TaskState] {
         match &self.progress {
             Progress::Open { tasks, .. } => tasks,
