--- a/src/message.rs
+++ b/src/message.rs
@@ -336,8 +336,8 @@
     pub epoch: Epoch,
     /// Wall-clock time; no owner accepted an unlisted id with a later timestamp.
     pub horizon_ms: u64,
-    /// Wall-clock time; no gate started an unlisted id with a later timestamp. `u64::MAX` if
-    /// not all gates answered in a recovery.
+    /// Wall-clock time; no gate queues or has started an unlisted id with a later timestamp.
+    /// `u64::MAX` if not all gates answered in a recovery.
     pub proof_floor_ms: u64,
     /// All known submissions.
     pub entries: Vec<HandoverEntry>,
--- a/src/owner/ranges.rs
+++ b/src/owner/ranges.rs
@@ -2,8 +2,8 @@
 //!
 //! A new owner that has no matching handover, as after a crash, takes the range over. It
 //! first waits until every id that the old owner may have accepted lies in the past. It then
-//! asks every gate which tasks of the range it started. A gate that has answered refuses
-//! starts of older epochs.
+//! asks every gate which tasks of the range it queues or has started. A gate that has
+//! answered refuses starts of older epochs.
 //!
 //! When all gates have answered, an unreported id is new if it is later than the departure
 //! time in the table. If recovery times out or a gate leaves before it has answered, no
@@ -35,7 +35,8 @@
     /// Wall-clock time; no previous owner accepted an id without a record and a later
     /// timestamp. `u64::MAX` during a takeover.
     horizon_ms: u64,
-    /// Wall-clock time; no gate started an id without a record and a later timestamp. Holds
+    /// Wall-clock time; no gate queues or has started an id without a record and a
+    /// later timestamp. Holds
     /// only once a takeover has ended; `u64::MAX` if not all gates answered.
     proof_floor_ms: u64,
 }
@@ -47,7 +48,7 @@
         /// Monotonic time at which recovery starts.
         until_us: u64,
     },
-    /// Asks the gates which tasks they started.
+    /// Asks the gates which tasks they queue or have started.
     Recovering {
         /// Gates that have not answered.
         unanswered: HashSet<MemberId>,
@@ -80,7 +81,7 @@
 
     /// Whether an active range's id with this timestamp and without a record has certainly
     /// never started. Either bound suffices: an id that no previous owner accepted, or that
-    /// no gate started.
+    /// no gate queues or has started.
     pub fn is_provably_new(&self, time_ms: u64) -> bool {
         time_ms > self.horizon_ms || time_ms > self.proof_floor_ms
     }
@@ -355,7 +356,7 @@
         }]
     }
 
-    /// Handles a gate's list of the tasks that it started in a range.
+    /// Handles a gate's list of the tasks that it queues or has started in a range.
     pub fn on_recovered(
         &mut self,
         now: Moment,
--- a/src/store.rs
+++ b/src/store.rs
@@ -33,8 +33,8 @@
     },
     /// Waits until a key with the prefix changes after a revision. Returns
     /// [`StoreReply::Changes`], empty if there is none within `wait_ms`. A store that reports
-    /// no single changes, or no longer has those after the revision, returns all current
-    /// [`StoreReply::Entries`] instead.
+    /// no single changes, or no longer has those after the revision, returns
+    /// [`StoreReply::Entries`] with all entries of the prefix instead.
     Watch {
         /// The prefix.
         prefix: String,
