--- a/src/owner/ranges.rs
+++ b/src/owner/ranges.rs
@@ -36,8 +36,8 @@
     /// timestamp. `u64::MAX` during a takeover.
     horizon_ms: u64,
     /// Wall-clock time; no gate queues or has started an id without a record and a
-    /// later timestamp. Holds
-    /// only once a takeover has ended; `u64::MAX` if not all gates answered.
+    /// later timestamp. Holds only once a takeover has ended; `u64::MAX` if not all gates
+    /// answered.
     proof_floor_ms: u64,
 }
 
