--- a/src/ephemeral/gate/pause.rs
+++ b/src/ephemeral/gate/pause.rs
@@ -46,7 +46,7 @@
             true => self.limits.peer_timeout,
             false => self.limits.idle_peer_timeout,
         };
-        let gone_us = state.last_seen_us + micros(silence) + 1;
+        let gone_us = state.last_frame_us + micros(silence) + 1;
         match state.session {
             Some(_) => gone_us.min(self.load_due_us(now, state)),
             None => gone_us,
--- a/src/ephemeral/gate/sessions.rs
+++ b/src/ephemeral/gate/sessions.rs
@@ -25,7 +25,7 @@
     /// Its open session.
     pub(super) session: Option<SessionId>,
     /// Arrival time of its last frame, in monotonic microseconds.
-    pub(super) last_seen_us: u64,
+    pub(super) last_frame_us: u64,
     /// Configuration version that the entry has.
     pub(super) config: u64,
     /// Number of the last start order received in this session.
@@ -45,7 +45,7 @@
     fn new(now: Moment, session: SessionId) -> EntryState {
         EntryState {
             session: Some(session),
-            last_seen_us: now.mono_us,
+            last_frame_us: now.mono_us,
             config: 0,
             seen: 0,
             unconfirmed_us: None,
@@ -94,7 +94,7 @@
     pub fn frame_received(&mut self, now: Moment, session: SessionId) {
         let entry = self.sessions.get(&session);
         if let Some(state) = entry.and_then(|entry| self.entries.get_mut(entry)) {
-            state.last_seen_us = now.mono_us;
+            state.last_frame_us = now.mono_us;
         }
     }
 
@@ -247,7 +247,7 @@
     pub(super) fn is_entry_alive(&self, now: Moment, entry: &ProcessId) -> bool {
         let silence_us = micros(self.limits.peer_timeout);
         let state = self.entries.get(entry);
-        state.is_some_and(|state| now.mono_us <= state.last_seen_us + silence_us)
+        state.is_some_and(|state| now.mono_us <= state.last_frame_us + silence_us)
     }
 
     /// Whether the entry has runs here that are not being stopped. Such an entry sends
@@ -265,7 +265,7 @@
             .iter()
             .filter(|(entry, state)| match self.has_active_runs(entry) {
                 true => !self.is_entry_alive(now, entry),
-                false => now.mono_us > state.last_seen_us + idle_us,
+                false => now.mono_us > state.last_frame_us + idle_us,
             })
             .map(|(entry, _)| entry.clone())
             .collect();
@@ -278,7 +278,7 @@
         let Some(state) = self.entries.remove(entry) else {
             return;
         };
-        let silent_ms = now.mono_us.saturating_sub(state.last_seen_us) / 1_000;
+        let silent_ms = now.mono_us.saturating_sub(state.last_frame_us) / 1_000;
         info!(self.log, "entry expired"; "entry" => &*entry.name, "why" => why,
             "silent_ms" => silent_ms);
         if let Some(session) = state.session {
